--- a/bench/_routing_world.py
+++ b/bench/_routing_world.py
@@ -18,17 +18,17 @@
 from canvasyoke import ManualClock
 from canvasyoke.coordination import (
     RANKERS,
-    Attempted,
     Candidate,
     Ejection,
+    FailedAttempt,
     FairQueue,
-    Offer,
+    QueuedRequest,
+    QueueUpdate,
     RetryBudget,
+    RetryDecision,
     RouteRequest,
-    Step,
-    Waiting,
+    decide_retry,
     filter_candidates,
-    next_step,
 )
 from canvasyoke.protocol import Outcome, Reason, Refusal
 
@@ -90,7 +90,7 @@
     tried: set[str] = field(default_factory=set)
     attempts: int = 0
     #: Places where it stands in line, and whether one of them has started it.
-    lines: dict[int, Waiting[Job]] = field(default_factory=dict)
+    lines: dict[int, QueuedRequest[Job]] = field(default_factory=dict)
     granted: bool = False
 
 
@@ -224,7 +224,7 @@
         index = int(chosen.instance.split("-")[1])
         view = self._views[job.entry][index]
         view.change(self._now, 1)
-        view.ejection.sent()
+        view.ejection.record_request()
         job.tried.add(chosen.instance)
         job.attempts += 1
         self._plan(LINK, lambda: self._offer(job, index))
@@ -244,12 +244,12 @@
             healthy=True,
             ejected=view.ejection.ejected,
             slots=spec.slots,
-            queue=spec.queue,
-            reported=load,
-            waiting=waiting,
+            queue_limit=spec.queue,
+            reported_load=load,
+            reported_waiting=waiting,
             report_age=0,
-            own_reported=view.own_at(heard),
-            own=view.own,
+            own_in_flight_at_report=view.own_at(heard),
+            own_in_flight=view.own,
             duration=duration,
         )
 
@@ -267,16 +267,19 @@
         view = self._views[job.entry][index]
         view.change(self._now, -1)
         if failed is Reason.LINK_LOST:
-            view.ejection.failed()
+            view.ejection.record_failure()
             self.dead_tries[job.entry] += 1
         elif failed is None:
-            view.ejection.succeeded()
-            self._budgets[job.entry].earn()
+            view.ejection.record_success()
+            self._budgets[job.entry].record_success()
 
     def _refused(self, job: Job, refusal: Refusal) -> None:
         remaining = round(job.arrived + self.spec.deadline - self._now)
-        attempted = Attempted(refusal, True, job.attempts, remaining)
-        if job.attempts and next_step(attempted, self._budgets[job.entry]) is Step.RETRY:
+        attempted = FailedAttempt(refusal, True, job.attempts, remaining)
+        if (
+            job.attempts
+            and decide_retry(attempted, self._budgets[job.entry]) is RetryDecision.RETRY
+        ):
             self._route(job)
         elif job.arrived >= self.spec.warmup:
             self.tallies[job.organisation].refused += 1
@@ -299,7 +302,7 @@
         """Put a request into one target's line."""
         deadline = round(job.arrived + self.spec.deadline)
         now = self._clock.now()
-        waiting = Waiting(job, job.organisation, 1, 0, 3, now, deadline)
+        waiting = QueuedRequest(job, job.organisation, 1, 0, 3, now, deadline)
         job.lines[index] = waiting
         self._settle(index, self._targets[index].queue.offer(waiting))
 
@@ -330,10 +333,10 @@
             if index != but:
                 del job.lines[index]
                 self._views[job.entry][index].change(self._now, -1)
-                self._targets[index].queue.withdraw(waiting)
+                self._targets[index].queue.remove(waiting)
                 self._targets[index].note(self._now)
 
-    def _settle(self, index: int, offer: Offer[Job]) -> None:
+    def _settle(self, index: int, offer: QueueUpdate[Job]) -> None:
         target = self._targets[index]
         target.note(self._now)
         for waiting, refusal in offer.refused:
@@ -345,7 +348,7 @@
         for waiting in offer.started:
             self._start(index, waiting)
 
-    def _start(self, index: int, waiting: Waiting[Job]) -> None:
+    def _start(self, index: int, waiting: QueuedRequest[Job]) -> None:
         job, spec = waiting.item, self.spec
         if job.granted:
             # Two lines gave it a slot within a round trip: the later is given back.
@@ -393,7 +396,7 @@
             while len(known) > self.spec.cache:
                 del known[next(iter(known))]
 
-    def _finish(self, index: int, waiting: Waiting[Job], first: float, hit: bool) -> None:
+    def _finish(self, index: int, waiting: QueuedRequest[Job], first: float, hit: bool) -> None:
         job = waiting.item
         self._settle(index, self._targets[index].queue.finish(waiting))
         self._plan(LINK, lambda: self._end_attempt(job, index, None))
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -17,7 +17,7 @@
 
 from bench._process import cpu_seconds, resident_mb
 from bench._registry import EXPERIMENTS, Cell, Result, Table
-from canvasyoke.coordination import POLICIES, KeyMemory, initial_map, plan_map
+from canvasyoke.coordination import POLICIES, IdempotencyCache, initial_map, plan_map
 from canvasyoke.protocol import (
     ExpertReplica,
     GroupOrder,
@@ -123,10 +123,10 @@
     return len(data) / 1e6, measure_memory(snapshot.parse), took
 
 
-def key_memory(count: int) -> KeyMemory:
+def key_memory(count: int) -> IdempotencyCache:
     """Return a memory of so many finished keys without answers."""
     rng = random.Random(1)
-    memory = KeyMemory()
+    memory = IdempotencyCache()
     for number in range(count):
         name = f"org/{new_key(number, rng)}"
         memory.begin(name, number, rng.randbytes(16), None)
--- a/src/canvasyoke/coordination/__init__.py
+++ b/src/canvasyoke/coordination/__init__.py
@@ -1,25 +1,25 @@
-"""Decisions: typed views, a clock and a seeded random source in, typed values out.
+"""Pure decision logic of routing, queueing, key ownership and expert maps.
 
-Nothing here opens a socket, so that a test or an experiment runs the very code
-that a process runs.
+Inputs are typed values, a clock and a seeded random source; no I/O takes place, so that tests
+and benchmarks run the same code as the processes.
 """
 
-from canvasyoke.coordination._demand import DemandSpan
+from canvasyoke.coordination._demand import DemandStabilityEstimator
 from canvasyoke.coordination._demand_estimate import (
-    DEMAND_ESTIMATES,
-    DemandEstimate,
-    share_distance,
+    DEMAND_ESTIMATORS,
+    DemandEstimator,
+    total_variation_distance,
 )
 from canvasyoke.coordination._ejection import Ejection
-from canvasyoke.coordination._fair_queue import FairQueue, Offer, Waiting
+from canvasyoke.coordination._fair_queue import FairQueue, QueuedRequest, QueueUpdate
 from canvasyoke.coordination._homes import (
     CLOCK_MARGIN,
     Handover,
-    HomeVerdict,
-    HomeView,
+    HandoverEntry,
+    HolderState,
+    IdempotencyCache,
+    KeyDecision,
     KeyedRequest,
-    KeyMemory,
-    KeyNote,
     KeyState,
     Slot,
     SlotTable,
@@ -27,8 +27,13 @@
     slot_of,
 )
 from canvasyoke.coordination._layer_plan import Layer, PlanPolicy
-from canvasyoke.coordination._lease import LEASE, RENEW_EVERY, Lease, LeaseWatch
-from canvasyoke.coordination._map_step import LEAST_SAVED, MapStep, MapTerms, plan_map_step
+from canvasyoke.coordination._lease import LEASE_DURATION, RENEW_INTERVAL, Lease, LeaseMonitor
+from canvasyoke.coordination._map_step import (
+    MIN_SAVINGS,
+    MapUpdate,
+    MapUpdateParameters,
+    plan_map_update,
+)
 from canvasyoke.coordination._planner import (
     POLICIES,
     ExpertMap,
@@ -36,11 +41,17 @@
     map_skew,
     plan_map,
 )
-from canvasyoke.coordination._retry import REDIRECTS, Attempted, RetryBudget, Step, next_step
+from canvasyoke.coordination._retry import (
+    REDIRECT_REASONS,
+    FailedAttempt,
+    RetryBudget,
+    RetryDecision,
+    decide_retry,
+)
 from canvasyoke.coordination._routing import (
     RANKERS,
     Candidate,
-    Filtered,
+    FilterResult,
     Ranker,
     RouteRequest,
     Unavailability,
@@ -49,50 +60,50 @@
 
 __all__ = [
     "CLOCK_MARGIN",
-    "DEMAND_ESTIMATES",
-    "LEASE",
-    "LEAST_SAVED",
+    "DEMAND_ESTIMATORS",
+    "LEASE_DURATION",
+    "MIN_SAVINGS",
     "POLICIES",
     "RANKERS",
-    "REDIRECTS",
-    "RENEW_EVERY",
-    "Attempted",
+    "REDIRECT_REASONS",
+    "RENEW_INTERVAL",
     "Candidate",
-    "DemandEstimate",
-    "DemandSpan",
+    "DemandEstimator",
+    "DemandStabilityEstimator",
     "Ejection",
     "ExpertMap",
+    "FailedAttempt",
     "FairQueue",
-    "Filtered",
+    "FilterResult",
     "Handover",
-    "HomeVerdict",
-    "HomeView",
-    "KeyMemory",
-    "KeyNote",
+    "HandoverEntry",
+    "HolderState",
+    "IdempotencyCache",
+    "KeyDecision",
     "KeyState",
     "KeyedRequest",
     "Layer",
     "Lease",
-    "LeaseWatch",
-    "MapStep",
-    "MapTerms",
-    "Offer",
+    "LeaseMonitor",
+    "MapUpdate",
+    "MapUpdateParameters",
     "PlanPolicy",
+    "QueueUpdate",
+    "QueuedRequest",
     "Ranker",
     "RetryBudget",
+    "RetryDecision",
     "RouteRequest",
     "Slot",
     "SlotTable",
-    "Step",
     "Unavailability",
-    "Waiting",
     "check_key",
+    "decide_retry",
     "filter_candidates",
     "initial_map",
     "map_skew",
-    "next_step",
     "plan_map",
-    "plan_map_step",
-    "share_distance",
+    "plan_map_update",
     "slot_of",
+    "total_variation_distance",
 ]
--- a/src/canvasyoke/coordination/_demand.py
+++ b/src/canvasyoke/coordination/_demand.py
@@ -1,4 +1,4 @@
-"""For how long demand stays as it is, learned from how long maps stayed good."""
+"""Estimate how long demand stays stable from how long expert maps stay balanced."""
 
 from __future__ import annotations
 
@@ -7,48 +7,49 @@
 
 from canvasyoke._clock import SECOND
 
-#: Milliseconds for which demand is expected to stay before any change of it was seen,
-#: and the bounds of what is learned. Nothing that stays for less than a second can be
-#: followed: a change takes half of that.
-_ASSUMED: Final = 5 * SECOND
-_LEAST: Final = 1 * SECOND
-_MOST: Final = 60 * SECOND
-#: Weight of one span in the running mean. Four changes of demand teach it well enough.
-_WEIGHT: Final = 0.4
-#: Skew above the least that a map has shown from which on it counts as outdated. Counts
-#: of one reading scatter by some 0.1.
-_OUTDATED: Final = 0.4
+#: Initial estimate in milliseconds, and the bounds of the estimate. Applying a new map takes
+#: about half a second, so shorter periods cannot be followed.
+_INITIAL_DURATION: Final = 5 * SECOND
+_MIN_DURATION: Final = 1 * SECOND
+_MAX_DURATION: Final = 60 * SECOND
+#: Weight of a new sample in the exponential moving average.
+_SMOOTHING: Final = 0.4
+#: Increase over a map's lowest skew from which the map counts as outdated. It exceeds the
+#: sampling noise of a single reading.
+_OUTDATED_SKEW_INCREASE: Final = 0.4
 
 
 @dataclass(slots=True)
-class DemandSpan:
-    """Watches one map after the other, and learns how long each one serves."""
+class DemandStabilityEstimator:
+    """Tracks the maps in force one after the other and learns how long each stays balanced."""
 
-    #: Milliseconds for which demand is expected to stay after it has changed.
-    expected: float = float(_ASSUMED)
-    _began: int | None = None
-    _least_skew: float = 0.0
+    #: Milliseconds for which demand is expected to stay stable after a change.
+    expected_duration: float = float(_INITIAL_DURATION)
+    _activated_at: int | None = None
+    _min_skew: float = 0.0
     _is_outdated: bool = False
 
-    def began(self, now: int) -> None:
-        """Take note that a map made for the present demand is in force."""
-        self._began = now
-        self._least_skew = 0.0
+    def record_activation(self, now: int) -> None:
+        """Record that a map planned for the current demand is in force."""
+        self._activated_at = now
+        self._min_skew = 0.0
         self._is_outdated = False
 
-    def saw(self, now: int, skew: float) -> None:
-        """Take note of the skew that the map in force has under the present demand."""
-        if self._began is None or self._is_outdated:
+    def record_skew(self, now: int, skew: float) -> None:
+        """Record the skew of the map in force under the current demand."""
+        if self._activated_at is None or self._is_outdated:
             return
-        age = now - self._began
-        self._least_skew = min(self._least_skew or skew, skew)
-        if skew < self._least_skew + _OUTDATED:
-            if age > self.expected:
-                self.expected = _bounded(age)
+        age = now - self._activated_at
+        self._min_skew = min(self._min_skew or skew, skew)
+        if skew < self._min_skew + _OUTDATED_SKEW_INCREASE:
+            if age > self.expected_duration:
+                self.expected_duration = _clamp(age)
             return
         self._is_outdated = True
-        self.expected = _bounded(self.expected + _WEIGHT * (age - self.expected))
+        self.expected_duration = _clamp(
+            self.expected_duration + _SMOOTHING * (age - self.expected_duration)
+        )
 
 
-def _bounded(span: float) -> float:
-    return min(float(_MOST), max(float(_LEAST), span))
+def _clamp(duration: float) -> float:
+    return min(float(_MAX_DURATION), max(float(_MIN_DURATION), duration))
--- a/src/canvasyoke/coordination/_demand_estimate.py
+++ b/src/canvasyoke/coordination/_demand_estimate.py
@@ -1,15 +1,11 @@
-"""What a group's requests choose now, from counts of what they chose lately.
-
-Demand stays for some seconds, and then a part of it moves at once. Between moves older
-counts make the estimate steadier; right after one they spoil it. A map planned from counts
-of before and after serves neither: in a group of 63 ranks whose demand moved every 3.1 s,
-each move took two changes of the map, the first planned for a skew of 1.08 to 1.2 and seen
-at 1.7 to 2.1, and the one that fitted was in force 1.3 to 2.6 s after the move.
-
-Counts are gathered in frames of the time in which each rank tells what it has counted. Two
-frames of the same demand differ by 0.015 to 0.05 (half the sum of the differences of
-their shares; frames of 0.2 s, 63 ranks, recorded), frames before and after a move of seven
-tenths of the experts by 0.16 to 0.24.
+"""Estimate a group's current expert demand from recent selection counts.
+
+Demand is stable for some seconds and then shifts abruptly. Between shifts, averaging over older
+counts reduces noise; after a shift, counts from before it distort the estimate, and a map
+planned from a mixture fits neither demand.
+
+Counts are collected in frames, each as long as one reporting interval of the ranks. A shift is
+detected by the total variation distance between a new frame and the estimate.
 """
 
 from __future__ import annotations
@@ -20,137 +16,137 @@
 
 from canvasyoke._registry import Registry
 
-#: Part of the weight of older counts that is left when a frame comes. Faster fading would
-#: leave the counts of few requests in small groups.
-_OLD_WEIGHT: Final = 0.45
-#: Difference between a frame and the ones before it from which on demand has moved, and
-#: how many times the usual difference it has to be where that is more. Both lie in the gap
-#: between what was recorded without a move and with one; a frame with a third of a move in
-#: it shows.
-_LEAST_MOVE: Final = 0.06
-_USUAL_TIMES: Final = 2.0
-#: Part of the difference that moves usually make from which on a frame is taken to be of
-#: after the move alone. A frame begins at any time after a move: three in ten hold too
-#: little of it to show, and the next one, which does, need not be waited out.
-_WHOLE_MOVE: Final = 0.8
-#: Weight of one difference in the running mean of usual ones.
-_USUAL_WEIGHT: Final = 0.2
-#: Frames in a row that may each look like a move. More of them are taken for what is
-#: usual here: few requests, whose choices scatter.
-_MOVES_IN_A_ROW: Final = 3
-
-
-class DemandEstimate(ABC):
-    """An estimate of demand by layer and expert, fed with what was counted."""
-
-    #: Number of moves that were seen.
-    moves: int = 0
-    #: Whether the counts at hand may be of demand before a move and after it.
-    is_moving: bool = False
+#: Factor applied to the accumulated weights when a frame arrives. A smaller factor would leave
+#: too few samples in small groups.
+_DECAY: Final = 0.45
+#: A frame marks a shift if its distance from the estimate reaches this minimum and this multiple
+#: of the mean distance between stable frames.
+_MIN_SHIFT_DISTANCE: Final = 0.06
+_NOISE_FACTOR: Final = 2.0
+#: Fraction of the mean shift distance from which a frame is assumed to hold only demand from
+#: after the shift. Such a frame can be used without waiting for the next one.
+_FULL_SHIFT_RATIO: Final = 0.8
+#: Weight of a new sample in the exponential moving averages.
+_SMOOTHING: Final = 0.2
+#: Consecutive frames that may count as shifts. Further ones are treated as sampling noise, which
+#: is high where requests are few.
+_MAX_CONSECUTIVE_SHIFTS: Final = 3
+
+
+class DemandEstimator(ABC):
+    """Estimates demand by layer and expert from selection counts."""
+
+    #: Number of shifts detected.
+    shift_count: int = 0
+    #: Whether the estimate may mix demand from before and after a shift.
+    is_transitioning: bool = False
 
     def __init__(self, frame: int) -> None:
-        """``frame`` is the time, in milliseconds, in which all ranks tell their counts."""
-        self._frame_time = frame
+        """Initialise with ``frame``, the ranks' reporting interval in milliseconds."""
+        self._frame_duration = frame
         self._frame: list[int] = []
-        self._index = 0
+        self._frame_index = 0
         #: Weight of each expert, layer by layer; empty before the first frame.
         self.weights: list[float] = []
 
-    def took(self, wall: int, counts: Sequence[int]) -> bool:
-        """Take new counts at a time of day; true when they complete a frame.
+    def add_counts(self, wall: int, counts: Sequence[int]) -> bool:
+        """Add counts reported at wall time ``wall``; return whether a frame is complete.
 
-        Frames begin at whole multiples of their time, as the ranks' readings do.
+        Frames begin at multiples of their duration, as the ranks' reports do.
         """
         if counts:
-            same = len(self._frame) == len(counts)
-            old = self._frame if same else [0] * len(counts)
+            has_same_size = len(self._frame) == len(counts)
+            old = self._frame if has_same_size else [0] * len(counts)
             self._frame = [a + b for a, b in zip(old, counts, strict=True)]
-        index = wall // self._frame_time
-        if index == self._index or not self._frame:
+        index = wall // self._frame_duration
+        if index == self._frame_index or not self._frame:
             return False
-        self._index = index
+        self._frame_index = index
         frame, self._frame = self._frame, []
         if not sum(frame):
             return False
-        self._add(frame)
+        self._add_frame(frame)
         return True
 
     @abstractmethod
-    def _add(self, frame: Sequence[int]) -> None:
-        """Take a whole frame."""
+    def _add_frame(self, frame: Sequence[int]) -> None:
+        """Update the estimate with a complete frame."""
 
-    def _fade_in(self, frame: Sequence[int]) -> None:
+    def _decay_and_add(self, frame: Sequence[int]) -> None:
         if len(frame) != len(self.weights):
             self.weights = [float(count) for count in frame]
             return
-        self.weights = [
-            old * _OLD_WEIGHT + new for old, new in zip(self.weights, frame, strict=True)
-        ]
+        self.weights = [old * _DECAY + new for old, new in zip(self.weights, frame, strict=True)]
 
 
-#: Estimates by name.
-DEMAND_ESTIMATES: Registry[type[DemandEstimate]] = Registry("demand estimate")
+#: Estimators by name.
+DEMAND_ESTIMATORS: Registry[type[DemandEstimator]] = Registry("demand estimate")
 
 
-@DEMAND_ESTIMATES.register("fading")
-class FadingEstimate(DemandEstimate):
-    """Older counts fade, whatever the new ones say."""
+@DEMAND_ESTIMATORS.register("fading")
+class ExponentialDecayEstimator(DemandEstimator):
+    """Applies exponential decay to older counts at a fixed rate."""
 
-    def _add(self, frame: Sequence[int]) -> None:
-        self._fade_in(frame)
+    def _add_frame(self, frame: Sequence[int]) -> None:
+        self._decay_and_add(frame)
 
 
-@DEMAND_ESTIMATES.register("moves")
-class MoveEstimate(DemandEstimate):
-    """Counts of before a move are dropped when it shows.
+@DEMAND_ESTIMATORS.register("moves")
+class ShiftDetectingEstimator(DemandEstimator):
+    """Discards older counts when it detects a shift.
 
-    The frame in which a move shows may hold demand of before and after; unless it differs
-    as much as moves usually make, the one after it decides.
+    The frame of a shift may mix demand from before and after it. Unless its distance is close to
+    that of a full shift, the estimate counts as transitional until the next frame.
     """
 
     def __init__(self, frame: int) -> None:
         super().__init__(frame)
-        #: Running mean of the difference between a frame and those before it.
-        self._usual = 0.0
-        self._in_a_row = 0
-        #: Estimate before the last move, and the usual difference that a move makes.
-        self._before: list[float] = []
-        self._usual_move = 1.0
-
-    def _add(self, frame: Sequence[int]) -> None:
+        #: Mean distance of frames from the estimate, apart from shifts.
+        self._mean_distance = 0.0
+        self._consecutive_shifts = 0
+        #: Estimate before the last shift, and the mean distance of a full shift.
+        self._weights_before_shift: list[float] = []
+        self._mean_shift_distance = 1.0
+
+    def _add_frame(self, frame: Sequence[int]) -> None:
         if len(frame) != len(self.weights):
-            self._fade_in(frame)
+            self._decay_and_add(frame)
             return
-        distance = share_distance(frame, self.weights)
-        if distance < max(_LEAST_MOVE, _USUAL_TIMES * self._usual):
-            if self._in_a_row:
-                self._learn_move(share_distance(frame, self._before))
-            self._in_a_row = 0
-            self.is_moving = False
-            self._learn(distance)
-            self._fade_in(frame)
+        distance = total_variation_distance(frame, self.weights)
+        if distance < max(_MIN_SHIFT_DISTANCE, _NOISE_FACTOR * self._mean_distance):
+            if self._consecutive_shifts:
+                self._update_mean_shift_distance(
+                    total_variation_distance(frame, self._weights_before_shift)
+                )
+            self._consecutive_shifts = 0
+            self.is_transitioning = False
+            self._update_mean_distance(distance)
+            self._decay_and_add(frame)
             return
-        self._in_a_row += 1
-        if self._in_a_row > _MOVES_IN_A_ROW:
-            self._learn(distance)
-        if self._in_a_row == 1:
-            self._before = self.weights
-            self.moves += 1
-        self.is_moving = self._in_a_row == 1 and distance < _WHOLE_MOVE * self._usual_move
+        self._consecutive_shifts += 1
+        if self._consecutive_shifts > _MAX_CONSECUTIVE_SHIFTS:
+            self._update_mean_distance(distance)
+        if self._consecutive_shifts == 1:
+            self._weights_before_shift = self.weights
+            self.shift_count += 1
+        self.is_transitioning = (
+            self._consecutive_shifts == 1
+            and distance < _FULL_SHIFT_RATIO * self._mean_shift_distance
+        )
         self.weights = [float(count) for count in frame]
 
-    def _learn_move(self, distance: float) -> None:
-        is_first = self._usual_move >= 1.0
-        weight = 1.0 if is_first else _USUAL_WEIGHT
-        self._usual_move += weight * (distance - self._usual_move)
+    def _update_mean_shift_distance(self, distance: float) -> None:
+        is_first = self._mean_shift_distance >= 1.0
+        weight = 1.0 if is_first else _SMOOTHING
+        self._mean_shift_distance += weight * (distance - self._mean_shift_distance)
 
-    def _learn(self, distance: float) -> None:
-        self._usual += _USUAL_WEIGHT * (distance - self._usual)
+    def _update_mean_distance(self, distance: float) -> None:
+        self._mean_distance += _SMOOTHING * (distance - self._mean_distance)
 
 
-def share_distance(one: Sequence[float], other: Sequence[float]) -> float:
-    """Return half the sum of the differences of shares: 0 for alike, 1 for nothing shared."""
-    total, other_total = sum(one), sum(other)
-    if not total or not other_total:
+def total_variation_distance(first: Sequence[float], second: Sequence[float]) -> float:
+    """Return half the L1 distance of the normalised counts: 0 if equal, 1 if disjoint."""
+    total, second_total = sum(first), sum(second)
+    if not total or not second_total:
         return 0.0
-    return sum(abs(a / total - b / other_total) for a, b in zip(one, other, strict=True)) / 2
+    return sum(abs(a / total - b / second_total) for a, b in zip(first, second, strict=True)) / 2
--- a/src/canvasyoke/coordination/_ejection.py
+++ b/src/canvasyoke/coordination/_ejection.py
@@ -1,7 +1,7 @@
-"""Taking a target out for a while on evidence from traffic.
+"""Passive health checks: eject a target temporarily after consecutive failures.
 
-A few failures in a row eject; after a pause one request probes it (half-open);
-an answer lets it back, a failure doubles the pause.
+After the backoff, a single probe request is allowed (half-open state). Success readmits the
+target; failure doubles the backoff.
 """
 
 from __future__ import annotations
@@ -10,50 +10,50 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: Failures in a row that eject.
-FAILURES: Final = 2
-_PAUSE_START: Final = 1 * SECOND
-_PAUSE_LIMIT: Final = 30 * SECOND
-#: Milliseconds after which a probe without an answer is given up.
-_PROBE_LIMIT: Final = 10 * SECOND
+#: Consecutive failures after which a target is ejected.
+FAILURE_THRESHOLD: Final = 2
+_INITIAL_BACKOFF: Final = 1 * SECOND
+_MAX_BACKOFF: Final = 30 * SECOND
+#: Milliseconds after which an unanswered probe is abandoned.
+_PROBE_TIMEOUT: Final = 10 * SECOND
 
 
 class Ejection:
-    """Evidence for and against one target, in one entry."""
+    """Tracks one entry's failures at one target."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._failures = 0
-        self._pause = _PAUSE_START
-        self._until = 0
-        self._probe_sent = 0
+        self._consecutive_failures = 0
+        self._backoff = _INITIAL_BACKOFF
+        self._ejected_until = 0
+        self._probe_sent_at = 0
 
     @property
     def ejected(self) -> bool:
-        """Tell whether the target should be passed over now."""
-        if self._failures < FAILURES:
+        """Return whether the target is currently excluded from selection."""
+        if self._consecutive_failures < FAILURE_THRESHOLD:
             return False
         now = self._clock.now()
-        if now < self._until:
+        if now < self._ejected_until:
             return True
-        return bool(self._probe_sent) and now - self._probe_sent < _PROBE_LIMIT
-
-    def sent(self) -> None:
-        """Note that a request goes there; in half-open state it is the probe."""
-        if self._failures >= FAILURES:
-            self._probe_sent = self._clock.now()
-
-    def succeeded(self) -> None:
-        """Note an answer."""
-        self._failures = 0
-        self._pause = _PAUSE_START
-        self._probe_sent = 0
-
-    def failed(self) -> None:
-        """Note a failure that the target is to blame for."""
-        self._failures += 1
-        if self._failures < FAILURES:
+        return bool(self._probe_sent_at) and now - self._probe_sent_at < _PROBE_TIMEOUT
+
+    def record_request(self) -> None:
+        """Record a request sent to the target; in the half-open state it is the probe."""
+        if self._consecutive_failures >= FAILURE_THRESHOLD:
+            self._probe_sent_at = self._clock.now()
+
+    def record_success(self) -> None:
+        """Record a successful response and readmit the target."""
+        self._consecutive_failures = 0
+        self._backoff = _INITIAL_BACKOFF
+        self._probe_sent_at = 0
+
+    def record_failure(self) -> None:
+        """Record a failure attributed to the target."""
+        self._consecutive_failures += 1
+        if self._consecutive_failures < FAILURE_THRESHOLD:
             return
-        self._until = self._clock.now() + self._pause
-        self._pause = min(self._pause * 2, _PAUSE_LIMIT)
-        self._probe_sent = 0
+        self._ejected_until = self._clock.now() + self._backoff
+        self._backoff = min(self._backoff * 2, _MAX_BACKOFF)
+        self._probe_sent_at = 0
--- a/src/canvasyoke/coordination/_homes.py
+++ b/src/canvasyoke/coordination/_homes.py
@@ -1,12 +1,11 @@
-"""At most once: where a key may run, and what is remembered of it.
-
-The keys of a service are spread over slots. A slot has one holder at a time, a
-target's process under a lease; only the holder runs requests with keys of the
-slot, and it remembers them. Keys carry the time at which they were made. A new
-holder refuses, as unknown, every key from before it took the slot: whatever its
-predecessor ran or still has in hand was made before that. So no record of past
-keys has to survive a process, and a predecessor that was paused is harmless.
-docs/design/at-most-once.md has the argument and what each failure refuses.
+"""At-most-once execution: which process may run a key, and what it remembers.
+
+The idempotency keys of a service are partitioned into slots. A slot has one holder at a time, a
+target's process with a lease; only the holder runs and remembers the slot's keys. Keys carry
+their creation time. A new holder refuses, as unknown, every key made before it took the slot,
+since its predecessor may have run it. So no record of past keys has to outlive a process, and a
+paused predecessor does no harm. docs/design/at-most-once.md has the argument and what each
+failure refuses.
 """
 
 from __future__ import annotations
@@ -23,33 +22,34 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.protocol import Outcome, Reason, Refusal
 
-#: How far a key may be ahead of a target's wall clock, in milliseconds.
-FUTURE_LIMIT: Final = 1 * SECOND
-#: Added to the wall time of taking a slot: the limit above and the clocks' disagreement.
+#: Milliseconds by which a key's time may be ahead of the target's wall clock.
+MAX_KEY_LEAD: Final = 1 * SECOND
+#: Milliseconds added to the wall time of taking a slot: the limit above plus clock skew between
+#: processes.
 CLOCK_MARGIN: Final = 2 * SECOND
-#: Keys remembered by one target at the most.
-_MEMORY_LIMIT: Final = 200_000
-#: Bytes of answers kept by one target at the most.
-_ANSWER_LIMIT: Final = 8 << 20
+#: Maximum number of keys that one target remembers.
+_MAX_KEYS: Final = 200_000
+#: Maximum total size in bytes of the answers that one target keeps.
+_MAX_ANSWER_BYTES: Final = 8 << 20
 
 
 class Slot(msgspec.Struct, frozen=True):
-    """Who holds one slot of a service's keys."""
+    """Ownership of one slot of a service's keys."""
 
-    #: Instance that holds it; empty when it is free.
+    #: Instance that holds the slot; empty if it is free.
     holder: str = ""
-    #: Run of the holder's process.
+    #: Incarnation of the holder's process.
     incarnation: str = ""
-    #: Wall time in milliseconds; keys made before it are not run.
+    #: Wall time in milliseconds; older keys are not run.
     since: int = 0
-    #: Whether anybody has ever held it; if not, there is nobody's past to fear.
+    #: Whether the slot was ever held; if not, no key in it can have run.
     used: bool = False
-    #: For a slot that was given back: object with the keys its last holder ran.
+    #: For a released slot: name of the object with the keys of its last holder.
     handover: str = ""
 
 
-class KeyNote(msgspec.Struct, frozen=True):
-    """A key that ran or runs, as one holder tells it to the next."""
+class HandoverEntry(msgspec.Struct, frozen=True):
+    """A key that has run or is running, as passed to the slot's next holder."""
 
     name: str
     #: Wall time in the key, in milliseconds.
@@ -58,19 +58,19 @@
 
 
 class Handover(msgspec.Struct, frozen=True):
-    """All keys of one slot that its last holder remembered."""
+    """All keys of one slot that its previous holder remembered."""
 
-    keys: list[KeyNote]
+    keys: list[HandoverEntry]
 
 
 class SlotTable(msgspec.Struct, frozen=True):
-    """All slots of a service, as kept in the platform."""
+    """All slots of a service, as stored in the platform."""
 
     epoch: int = 0
     slots: list[Slot] = []
 
     def held_by(self, instance: str, incarnation: str) -> dict[int, Slot]:
-        """Return the slots that one run of a process holds."""
+        """Return the slots held by one incarnation of an instance."""
         return {
             index: slot
             for index, slot in enumerate(self.slots)
@@ -85,7 +85,7 @@
 
 
 class KeyState(enum.Enum):
-    """How far a remembered request has come."""
+    """Progress of a remembered request."""
 
     RUNNING = enum.auto()
     DONE = enum.auto()
@@ -93,62 +93,62 @@
 
 @dataclass(slots=True)
 class KeyRecord:
-    """What is remembered of one key."""
+    """State of one key."""
 
-    #: Digest of organisation, method, path and body: the same key must mean the same.
+    #: Digest of organisation, method, path and body, to detect reuse for another request.
     digest: bytes
     #: Wall time in the key, in milliseconds.
     made: int
     state: KeyState
-    #: The running or finished work; ``None`` once its answer is not kept.
+    #: The running or finished work; ``None`` if its answer is not kept.
     work: object
-    #: Bytes of the kept answer; 0 when none is kept.
+    #: Size of the kept answer in bytes; 0 if none is kept.
     size: int = 0
 
 
-class KeyMemory:
-    """The keys that one process has run or is running; used by one task."""
+class IdempotencyCache:
+    """Keys that one process has run or is running; not thread-safe."""
 
-    def __init__(self, limit: int = _MEMORY_LIMIT, answer_limit: int = _ANSWER_LIMIT) -> None:
+    def __init__(self, limit: int = _MAX_KEYS, answer_limit: int = _MAX_ANSWER_BYTES) -> None:
         self._records: OrderedDict[str, KeyRecord] = OrderedDict()
         self._limit = limit
         self._answer_limit = answer_limit
         self._answer_bytes = 0
-        #: Wall time after the newest key dropped; older ones are refused.
+        #: Keys made before this wall time may have been dropped and are refused.
         self.dropped_before = 0
 
     def __len__(self) -> int:
         return len(self._records)
 
     def find(self, key: str) -> KeyRecord | None:
-        """Return the record of ``key``, if there is one."""
+        """Return the record of ``key``, or None."""
         return self._records.get(key)
 
     def begin(self, key: str, made: int, digest: bytes, work: object) -> None:
-        """Remember that ``key``, made at wall time ``made``, is to run."""
+        """Record that ``key``, made at wall time ``made``, starts to run."""
         self._records[key] = KeyRecord(digest, made, KeyState.RUNNING, work)
 
-    def forget(self, key: str) -> None:
-        """Drop ``key``: it did not run and never will on this account."""
+    def discard(self, key: str) -> None:
+        """Remove ``key``, which did not run and will not run."""
         self._records.pop(key, None)
 
-    def inherit(self, notes: Iterable[KeyNote]) -> None:
-        """Remember keys that a former holder ran; it has their answers, not we."""
-        for note in notes:
-            if note.name not in self._records:
-                record = KeyRecord(note.digest, note.made, KeyState.DONE, None)
-                self._records[note.name] = record
+    def import_entries(self, entries: Iterable[HandoverEntry]) -> None:
+        """Add keys run by a previous holder, whose answers are not available here."""
+        for entry in entries:
+            if entry.name not in self._records:
+                record = KeyRecord(entry.digest, entry.made, KeyState.DONE, None)
+                self._records[entry.name] = record
 
-    def notes(self, slot: int, slots: int) -> list[KeyNote]:
-        """Return the keys of one slot, to be handed over."""
+    def export_entries(self, slot: int, slots: int) -> list[HandoverEntry]:
+        """Return the keys of one slot for a handover."""
         return [
-            KeyNote(name, record.made, record.digest)
+            HandoverEntry(name, record.made, record.digest)
             for name, record in self._records.items()
             if slot_of(name.split("/", 1)[1], slots) == slot
         ]
 
     def finish(self, key: str, size: int) -> None:
-        """Remember that ``key`` ran and that its answer has ``size`` bytes."""
+        """Record that ``key`` has run and that its answer has ``size`` bytes."""
         record = self._records.get(key)
         if record is None:
             return
@@ -156,13 +156,12 @@
         record.size = size
         self._answer_bytes += size
         if self._answer_bytes > self._answer_limit:
-            self._drop_answers()
+            self._evict_answers()
 
-    def trim(self, horizon: int) -> None:
-        """Drop finished keys made before ``horizon``, and the oldest over the limit.
+    def evict(self, horizon: int) -> None:
+        """Drop finished keys older than ``horizon``, and the oldest above the limit.
 
-        ``dropped_before`` moves past every key dropped, so that none of them can
-        run a second time.
+        ``dropped_before`` advances past every dropped key, so that none can run twice.
         """
         while self._records:
             key, record = next(iter(self._records.items()))
@@ -174,8 +173,8 @@
             self._answer_bytes -= record.size
             self.dropped_before = max(self.dropped_before, record.made + 1)
 
-    def _drop_answers(self) -> None:
-        """Let go of the oldest answers; that their keys ran stays known."""
+    def _evict_answers(self) -> None:
+        """Drop the oldest answers but keep their keys."""
         for record in self._records.values():
             if self._answer_bytes <= self._answer_limit // 2:
                 return
@@ -186,87 +185,87 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeVerdict:
-    """Whether a key may run here."""
+class KeyDecision:
+    """Whether a key may run at this holder."""
 
-    #: Why not; ``None`` when it may run or has run.
+    #: Reason for refusing; ``None`` if the key may run or has run.
     refusal: Refusal | None
-    #: What is remembered of it; ``None`` when it is new.
+    #: State of the key; ``None`` if it is new.
     record: KeyRecord | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class HomeView:
-    """What a holder knows at the moment of deciding."""
-
-    #: Slots held, by index.
-    held: dict[int, Slot]
-    #: Slots in the service's table.
-    slots: int
-    #: Whether the holder's lease stands.
+class HolderState:
+    """A holder's state at the time of a decision."""
+
+    #: Held slots by index.
+    held_slots: dict[int, Slot]
+    #: Number of slots of the service.
+    slot_count: int
+    #: Whether the holder's lease is valid.
     lease_valid: bool
     #: Wall time in milliseconds.
-    wall: int
+    wall_time: int
     #: Milliseconds for which keys are remembered.
-    keep: int
-    #: Milliseconds after which a refused caller should ask again.
+    retention: int
+    #: Milliseconds after which a refused caller should retry.
     retry_after: int = 1 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """The part of a request that decides whether it may run."""
+    """The properties of a request that decide whether it may run."""
 
-    #: The key as its caller gave it; its slot follows from it.
+    #: The key as given by the caller; it determines the slot.
     key: str
-    #: Organisation that gave it: two of them may use the same key.
+    #: Organisation of the caller; keys are scoped to it.
     organisation: str
     #: Wall time in the key, in milliseconds.
     made: int
-    #: Digest of what is asked: the same key must mean the same.
+    #: Digest of the request, to detect reuse of the key for another one.
     digest: bytes
 
     @property
     def name(self) -> str:
-        """Return the name under which the key is remembered."""
+        """Return the key qualified with its organisation."""
         return f"{self.organisation}/{self.key.lower()}"
 
 
-def check_key(req: KeyedRequest, view: HomeView, memory: KeyMemory) -> HomeVerdict:
+def check_key(req: KeyedRequest, holder: HolderState, cache: IdempotencyCache) -> KeyDecision:
     """Return whether a request with a key may run at this holder.
 
-    The order matters: what is remembered is certain, so it goes before any rule
-    that only bounds what is not.
+    Remembered keys are looked up first: their state is exact, while the other rules only bound
+    what may have run.
     """
-    slot = view.held.get(slot_of(req.key, view.slots)) if view.slots else None
-    if slot is None or not view.lease_valid:
+    slot = holder.held_slots.get(slot_of(req.key, holder.slot_count)) if holder.slot_count else None
+    if slot is None or not holder.lease_valid:
         detail = "the key's slot is not held here" if slot is None else "the lease has lapsed"
-        return _refuse(Outcome.NOT_RUN, Reason.NOT_HOME, detail, view.retry_after)
-    record = memory.find(req.name)
+        return _refuse(Outcome.NOT_RUN, Reason.NOT_HOME, detail, holder.retry_after)
+    record = cache.find(req.name)
     if record is not None:
         return _check_record(record, req.digest)
-    if req.made > view.wall + FUTURE_LIMIT:
+    if req.made > holder.wall_time + MAX_KEY_LEAD:
         detail = "the key's time is in the future"
         return _refuse(Outcome.NOT_RUN, Reason.KEY_IN_FUTURE, detail, 0)
     if req.made < slot.since:
         detail = "the key was made before this holder took over; another may have run it"
-        wait = slot.since - view.wall + 1
+        wait = slot.since - holder.wall_time + 1
         return _refuse(Outcome.UNKNOWN, Reason.KEY_BEFORE_HOME, detail, max(0, wait))
-    if req.made < max(view.wall - view.keep, memory.dropped_before):
+    if req.made < max(holder.wall_time - holder.retention, cache.dropped_before):
         detail = "the key is older than what is remembered"
         return _refuse(Outcome.UNKNOWN, Reason.KEY_EXPIRED, detail, 0)
-    return HomeVerdict(None)
+    return KeyDecision(None)
 
 
-def _check_record(record: KeyRecord, digest: bytes) -> HomeVerdict:
+def _check_record(record: KeyRecord, digest: bytes) -> KeyDecision:
     if record.digest != digest:
         detail = "the key was used for another request"
         return _refuse(Outcome.NOT_RUN, Reason.KEY_REUSED, detail, 0)
     if record.work is None:
         detail = "the request ran; its answer is no longer kept"
         return _refuse(Outcome.UNKNOWN, Reason.ANSWER_NOT_KEPT, detail, 0)
-    return HomeVerdict(None, record)
+    return KeyDecision(None, record)
 
 
-def _refuse(outcome: Outcome, reason: Reason, detail: str, retry_after: int) -> HomeVerdict:
-    return HomeVerdict(Refusal(outcome, reason, detail, retry_after))
+def _refuse(outcome: Outcome, reason: Reason, detail: str, retry_after: int) -> KeyDecision:
+    return KeyDecision(Refusal(outcome, reason, detail, retry_after))
--- a/src/canvasyoke/coordination/_layer_plan.py
+++ b/src/canvasyoke/coordination/_layer_plan.py
@@ -1,4 +1,4 @@
-"""Changing one layer of an expert map, a copy at a time, away from the slowest rank."""
+"""Rebalance one layer of an expert map, one copy at a time."""
 
 from __future__ import annotations
 
@@ -10,33 +10,32 @@
 
 #: Ranks that hold each expert of one layer.
 Layer: TypeAlias = tuple[tuple[int, ...], ...]
-#: Least loaded ranks looked at as places for a copy.
-_PLACES: Final = 4
-#: Least loaded ranks with which an exchange of experts is looked at: it takes two copies,
-#: and looking at four ranks took 40 in 100 of the planner's time for no better maps.
-_SWAPS: Final = 2
-#: Most loaded experts of a rank looked at for a change.
-_EXPERTS: Final = 4
+#: Least loaded ranks considered as destinations for a copy.
+_MAX_DESTINATIONS: Final = 4
+#: Least loaded ranks considered for swaps, which take two copies each.
+_MAX_SWAP_DESTINATIONS: Final = 2
+#: Most loaded experts of the slowest rank considered for a change.
+_MAX_SOURCE_EXPERTS: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class PlanPolicy:
-    """What an operator weighs skew and moves at."""
+    """How a planner trades skew against copies."""
 
-    #: Skew (slowest rank over mean rank) under which a layer is left alone.
-    enough: float
-    #: Skew that one copy moved must save.
-    price: float
-    #: Copies moved in one plan at the most.
-    budget: int
-    #: Part of the skew expected by chance that is not acted on.
-    doubt: float
+    #: Skew (slowest rank over mean rank) below which a layer is left unchanged.
+    acceptable_skew: float
+    #: Minimum reduction of skew for each copy.
+    min_gain_per_copy: float
+    #: Maximum number of copies in one plan.
+    max_copies: int
+    #: Fraction of the skew expected from sampling noise that is ignored.
+    noise_factor: float
 
 
 def rank_loads(
     layer: Sequence[Sequence[int]], weights: Sequence[float], ranks: Sequence[int]
 ) -> dict[int, float]:
-    """Return the tokens that each rank has to work on."""
+    """Return the expected number of tokens for each rank."""
     loads = dict.fromkeys(ranks, 0.0)
     for holders, weight in zip(layer, weights, strict=True):
         for rank in holders:
@@ -55,45 +54,45 @@
     return max(rank_loads(kept, weights, ranks).values()) * len(ranks) / total if total else 1.0
 
 
-def chance_skew(mean: float, ranks: int) -> float:
-    """Return the skew above 1 that counts of ``mean`` a rank have by chance alone.
+def expected_noise_skew(mean: float, ranks: int) -> float:
+    """Return the skew above 1 expected from sampling noise at ``mean`` tokens per rank.
 
-    The highest of so many ranks lies about sqrt(2 ln n) deviations above the mean.
+    The expected maximum of n samples is about sqrt(2 ln n) deviations above the mean.
     """
     return math.sqrt(2 * math.log(max(2, ranks)) / max(1.0, mean))
 
 
 @dataclass(frozen=True, slots=True)
 class LayerChange:
-    """One copy added to ``rank``, perhaps in place of copies elsewhere."""
+    """Copies to add and remove in one layer."""
 
-    #: Highest load of the ranks concerned after the change.
+    #: Highest load among the affected ranks after the change.
     peak: float
     copies: int
-    #: Pairs of expert and its new holders.
+    #: Pairs of an expert and its new holders.
     holders: tuple[tuple[int, frozenset[int]], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """A change that has not been worked out in full."""
+    """A possible change whose exact peak has not been computed."""
 
-    #: The two ranks' higher load after it; no less than this is the peak.
-    least_peak: float
-    #: Copies to be made.
+    #: Higher load of source and destination after the change.
+    peak_lower_bound: float
+    #: Number of copies needed.
     copies: int
-    #: Expert of which the slowest rank is relieved.
+    #: Expert to copy or move away from the slowest rank.
     expert: int
-    #: Whether the slowest rank gives up its copy, and does not just share the load.
-    moves: bool = False
-    #: Expert whose copy makes room at the other rank.
-    freed: int | None = None
-    #: Expert of the other rank that the slowest one takes in exchange.
+    #: Whether the slowest rank drops its copy.
+    is_move: bool = False
+    #: Expert whose copy at the destination is removed to free capacity.
+    evicted: int | None = None
+    #: Expert of the destination that moves to the slowest rank in exchange.
     swapped: int | None = None
 
 
 class LayerPlan:
-    """One layer of a map while it is being changed."""
+    """Mutable state of one layer during planning."""
 
     def __init__(
         self,
@@ -101,11 +100,11 @@
         weights: Sequence[float],
         ranks: Sequence[int],
         capacity: int,
-        paces: Mapping[int, float] | None = None,
+        slowdowns: Mapping[int, float] | None = None,
     ) -> None:
-        """``paces`` has the ranks that take longer for the same work, and how many times."""
+        """Initialise; ``slowdowns`` maps slow ranks to their relative processing time."""
         alive = set(ranks)
-        self._paces = dict.fromkeys(ranks, 1.0) | dict(paces or {})
+        self._slowdowns = dict.fromkeys(ranks, 1.0) | dict(slowdowns or {})
         self._holders = [frozenset(h) & alive for h in layer]
         self._weights = weights
         self._ranks = ranks
@@ -114,48 +113,54 @@
         self._experts: dict[int, set[int]] = {rank: set() for rank in ranks}
         self._loads = dict.fromkeys(ranks, 0.0)
         #: Experts with more than one copy.
-        self._doubled = {e for e, holders in enumerate(self._holders) if len(holders) > 1}
+        self._replicated = {e for e, holders in enumerate(self._holders) if len(holders) > 1}
         for expert, holders in enumerate(self._holders):
             for rank in holders:
                 self._experts[rank].add(expert)
-                self._loads[rank] += self._paces[rank] * weights[expert] / len(holders)
+                self._loads[rank] += self._slowdowns[rank] * weights[expert] / len(holders)
 
     def result(self) -> Layer:
-        """Return the layer as it stands."""
+        """Return the planned layer."""
         return tuple(tuple(sorted(holders)) for holders in self._holders)
 
-    def rescue(self) -> None:
-        """Place every expert that has lost its last copy."""
+    def restore_lost_experts(self) -> None:
+        """Assign a rank to every expert without a copy."""
         lost = [e for e, holders in enumerate(self._holders) if not holders]
         for expert in sorted(lost, key=lambda e: -self._weights[e]):
-            self._make_room()
+            self._free_capacity()
             open_ranks = [r for r in self._ranks if len(self._experts[r]) < self._capacity]
             rank = min(open_ranks, key=lambda r: (self._loads[r], r))
             self._set_holders(expert, frozenset({rank}))
 
-    def _make_room(self) -> None:
-        """Let go of the least useful second copy when every rank is full."""
+    def _free_capacity(self) -> None:
+        """If every rank is full, remove the replica that carries the least load."""
         if any(len(held) < self._capacity for held in self._experts.values()):
             return
-        doubled = [e for e, holders in enumerate(self._holders) if len(holders) > 1]
-        expert = min(doubled, key=lambda e: self._weights[e] / len(self._holders[e]))
-        busiest = max(self._holders[expert], key=lambda r: self._loads[r])
-        self._set_holders(expert, self._holders[expert] - {busiest})
+        replicated = [e for e, holders in enumerate(self._holders) if len(holders) > 1]
+        expert = min(replicated, key=lambda e: self._weights[e] / len(self._holders[e]))
+        most_loaded = max(self._holders[expert], key=lambda r: self._loads[r])
+        self._set_holders(expert, self._holders[expert] - {most_loaded})
 
     def improve(self, policy: PlanPolicy, budget: int) -> int:
-        """Change copies while it pays; return the number of copies moved."""
+        """Apply changes while each gains enough; return the number of copies."""
         moved = 0
         if not self._total:
             return moved
         mean = self._total / len(self._ranks)
-        enough = max(policy.enough, 1 + policy.doubt * chance_skew(mean, len(self._ranks)))
+        skew_limit = max(
+            policy.acceptable_skew,
+            1 + policy.noise_factor * expected_noise_skew(mean, len(self._ranks)),
+        )
         while moved < budget:
             slowest = max(self._ranks, key=lambda r: self._loads[r])
             peak = self._loads[slowest]
-            if peak / mean <= enough:
+            if peak / mean <= skew_limit:
                 break
             change = self._best_change(slowest, peak)
-            if change is None or (peak - change.peak) / mean < policy.price * change.copies:
+            if (
+                change is None
+                or (peak - change.peak) / mean < policy.min_gain_per_copy * change.copies
+            ):
                 break
             self.apply(change)
             moved += change.copies
@@ -166,142 +171,157 @@
         """Return the load of the most loaded rank."""
         return max(self._loads.values())
 
-    def new_copies(self, change: LayerChange) -> list[int]:
-        """Return the ranks that have to copy an expert for ``change``, once for each."""
+    def copying_ranks(self, change: LayerChange) -> list[int]:
+        """Return the rank of each copy that ``change`` needs, repeated as needed."""
         return [
             rank for expert, holders in change.holders for rank in holders - self._holders[expert]
         ]
 
-    def next_change(self, closed: frozenset[int]) -> LayerChange | None:
-        """Return the change that relieves the slowest rank most, without new copies on
-        the ranks in ``closed``."""
+    def next_change(self, excluded: frozenset[int]) -> LayerChange | None:
+        """Return the best change for the slowest rank without new copies on ``excluded``."""
         slowest = max(self._ranks, key=lambda r: self._loads[r])
-        return self._best_change(slowest, self._loads[slowest], closed)
+        return self._best_change(slowest, self._loads[slowest], excluded)
 
     def apply(self, change: LayerChange) -> None:
-        """Carry out a change."""
+        """Apply a change."""
         for expert, holders in change.holders:
             self._set_holders(expert, holders)
 
     def _set_holders(self, expert: int, holders: frozenset[int]) -> None:
         for rank in self._holders[expert]:
-            self._loads[rank] -= self._paces[rank] * self._share(expert)
+            self._loads[rank] -= self._slowdowns[rank] * self._load_per_copy(expert)
             self._experts[rank].discard(expert)
         for rank in holders:
-            self._loads[rank] += self._paces[rank] * self._weights[expert] / len(holders)
+            self._loads[rank] += self._slowdowns[rank] * self._weights[expert] / len(holders)
             self._experts[rank].add(expert)
         self._holders[expert] = holders
         if len(holders) > 1:
-            self._doubled.add(expert)
+            self._replicated.add(expert)
         else:
-            self._doubled.discard(expert)
+            self._replicated.discard(expert)
 
     def _best_change(
-        self, slowest: int, peak: float, closed: frozenset[int] = frozenset()
+        self, slowest: int, peak: float, excluded: frozenset[int] = frozenset()
     ) -> LayerChange | None:
-        """Return the change that gains most for each copy; ``None`` when none gains.
+        """Return the change with the highest gain per copy, or None if none gains.
 
-        Only changes that may gain more than the best one so far are worked out in full. In
-        a group of 63 ranks with 8 layers of 252 experts that and the kept set of experts
-        with second copies took a plan from 200 to 250 ms of a processor to 40 to 70.
+        Options whose lower bound cannot beat the best gain so far are not evaluated.
         """
-        emptiest = heapq.nsmallest(_PLACES, self._ranks, key=self._loads.__getitem__)
-        heavy = heapq.nlargest(_EXPERTS, sorted(self._experts[slowest]), key=self._share)
-        places = list(dict.fromkeys([*emptiest, *self._spare_places()]))
+        least_loaded = heapq.nsmallest(_MAX_DESTINATIONS, self._ranks, key=self._loads.__getitem__)
+        heaviest = heapq.nlargest(
+            _MAX_SOURCE_EXPERTS, sorted(self._experts[slowest]), key=self._load_per_copy
+        )
+        destinations = list(dict.fromkeys([*least_loaded, *self._replica_destinations()]))
         best: LayerChange | None = None
         best_gain = 0.0
-        for expert in heavy:
-            for place in places:
-                if place == slowest or place in closed or expert in self._experts[place]:
+        for expert in heaviest:
+            for destination in destinations:
+                if (
+                    destination == slowest
+                    or destination in excluded
+                    or expert in self._experts[destination]
+                ):
                     continue
-                with_swap = place in emptiest[:_SWAPS] and slowest not in closed
-                for option in self._options(expert, slowest, place, with_swap):
-                    if (peak - option.least_peak) / option.copies <= best_gain:
+                allow_swap = (
+                    destination in least_loaded[:_MAX_SWAP_DESTINATIONS] and slowest not in excluded
+                )
+                for option in self._options(expert, slowest, destination, allow_swap):
+                    if (peak - option.peak_lower_bound) / option.copies <= best_gain:
                         continue
-                    change = self._evaluate(option, slowest, place)
+                    change = self._evaluate(option, slowest, destination)
                     gain = (peak - change.peak) / change.copies
                     if gain > best_gain:
                         best, best_gain = change, gain
         return best
 
-    def _spare_places(self) -> list[int]:
-        """Return ranks that hold a second copy which is worth little.
+    def _replica_destinations(self) -> list[int]:
+        """Return ranks with a replica that is cheap to remove.
 
-        When all ranks are full, room for a hot expert is made where the load that
-        falls back on other copies is least, not where the load is least now.
+        When all ranks are full, capacity is freed where removing a replica adds the least load
+        to its other holders.
         """
-        least = heapq.nsmallest(_PLACES, sorted(self._doubled), key=self._worth_of_copy)
+        least = heapq.nsmallest(_MAX_DESTINATIONS, sorted(self._replicated), key=self._removal_cost)
         return [min(self._holders[e], key=self._loads.__getitem__) for e in least]
 
-    def _share(self, expert: int) -> float:
+    def _load_per_copy(self, expert: int) -> float:
         return self._weights[expert] / len(self._holders[expert])
 
-    def _worth_of_copy(self, expert: int) -> float:
-        """Return the load that falls back on each other copy when one is dropped."""
-        return self._share(expert) / (len(self._holders[expert]) - 1)
+    def _removal_cost(self, expert: int) -> float:
+        """Return the load added to each other copy if one is removed."""
+        return self._load_per_copy(expert) / (len(self._holders[expert]) - 1)
 
-    def _options(self, expert: int, slowest: int, place: int, with_swap: bool) -> Iterator[_Option]:
-        """Yield the ways to relieve ``slowest`` of ``expert`` at ``place``."""
-        if len(self._experts[place]) < self._capacity:
-            yield from self._copy_or_move(expert, slowest, place)
+    def _options(
+        self, expert: int, slowest: int, destination: int, allow_swap: bool
+    ) -> Iterator[_Option]:
+        """Yield the changes that take load of ``expert`` from ``slowest`` to ``destination``."""
+        if len(self._experts[destination]) < self._capacity:
+            yield from self._copy_or_move(expert, slowest, destination)
         else:
-            doubled = self._experts[place] & self._doubled
-            if doubled:
-                least = min(sorted(doubled), key=self._worth_of_copy)
-                yield from self._copy_or_move(expert, slowest, place, least)
-        if with_swap:
-            light = self._counterpart(expert, slowest, place)
-            if light is not None:
-                moved = self._share(expert) - self._share(light)
-                relieved = self._loads[slowest] - self._paces[slowest] * moved
-                floor = max(relieved, self._loads[place] + self._paces[place] * moved)
-                yield _Option(floor, 2, expert, moves=True, swapped=light)
+            replicated = self._experts[destination] & self._replicated
+            if replicated:
+                least = min(sorted(replicated), key=self._removal_cost)
+                yield from self._copy_or_move(expert, slowest, destination, least)
+        if allow_swap:
+            partner = self._swap_partner(expert, slowest, destination)
+            if partner is not None:
+                moved = self._load_per_copy(expert) - self._load_per_copy(partner)
+                source_load = self._loads[slowest] - self._slowdowns[slowest] * moved
+                lower_bound = max(
+                    source_load, self._loads[destination] + self._slowdowns[destination] * moved
+                )
+                yield _Option(lower_bound, 2, expert, is_move=True, swapped=partner)
 
     def _copy_or_move(
-        self, expert: int, slowest: int, place: int, freed: int | None = None
+        self, expert: int, slowest: int, destination: int, evicted: int | None = None
     ) -> Iterator[_Option]:
-        """Yield a second copy of ``expert`` at ``place``, and its move there.
+        """Yield a replication of ``expert`` to ``destination``, and its move there.
 
-        ``freed`` is the expert whose copy at ``place`` makes room.
+        ``evicted`` is the expert whose copy at ``destination`` is removed to free capacity.
         """
-        share = self._share(expert)
-        thinned = self._weights[expert] / (len(self._holders[expert]) + 1)
-        pace, place_pace = self._paces[slowest], self._paces[place]
-        room = self._loads[place]
-        if freed is not None:
-            room -= place_pace * self._share(freed)
-        relieved = self._loads[slowest] - pace * share
-        shared = max(relieved + pace * thinned, room + place_pace * thinned)
-        yield _Option(shared, 1, expert, freed=freed)
-        moved = max(relieved, room + place_pace * share)
-        yield _Option(moved, 1, expert, moves=True, freed=freed)
-
-    def _counterpart(self, expert: int, slowest: int, place: int) -> int | None:
-        """Return that expert of ``place`` which evens the two best in exchange."""
-        surplus = self._loads[slowest] - self._loads[place]
-        surplus /= self._paces[slowest] + self._paces[place]
-        wanted_share = self._share(expert) - surplus
-        candidates = sorted(self._experts[place] - self._experts[slowest])
+        share = self._load_per_copy(expert)
+        share_after_copy = self._weights[expert] / (len(self._holders[expert]) + 1)
+        source_slowdown, destination_slowdown = (
+            self._slowdowns[slowest],
+            self._slowdowns[destination],
+        )
+        destination_load = self._loads[destination]
+        if evicted is not None:
+            destination_load -= destination_slowdown * self._load_per_copy(evicted)
+        source_load = self._loads[slowest] - source_slowdown * share
+        peak_after_copy = max(
+            source_load + source_slowdown * share_after_copy,
+            destination_load + destination_slowdown * share_after_copy,
+        )
+        yield _Option(peak_after_copy, 1, expert, evicted=evicted)
+        peak_after_move = max(source_load, destination_load + destination_slowdown * share)
+        yield _Option(peak_after_move, 1, expert, is_move=True, evicted=evicted)
+
+    def _swap_partner(self, expert: int, slowest: int, destination: int) -> int | None:
+        """Return the expert of ``destination`` whose exchange balances both ranks best."""
+        surplus = self._loads[slowest] - self._loads[destination]
+        surplus /= self._slowdowns[slowest] + self._slowdowns[destination]
+        wanted_share = self._load_per_copy(expert) - surplus
+        candidates = sorted(self._experts[destination] - self._experts[slowest])
         if not candidates:
             return None
-        return min(candidates, key=lambda e: abs(self._share(e) - wanted_share))
+        return min(candidates, key=lambda e: abs(self._load_per_copy(e) - wanted_share))
 
-    def _evaluate(self, option: _Option, slowest: int, place: int) -> LayerChange:
-        """Work out a change and the load of all ranks that it concerns."""
+    def _evaluate(self, option: _Option, slowest: int, destination: int) -> LayerChange:
+        """Return the change for ``option`` with the exact peak of all affected ranks."""
         holders = self._holders[option.expert]
-        kept = holders - {slowest} if option.moves else holders
-        wanted = [(option.expert, kept | {place})]
-        if option.freed is not None:
-            wanted.insert(0, (option.freed, self._holders[option.freed] - {place}))
+        kept = holders - {slowest} if option.is_move else holders
+        changes = [(option.expert, kept | {destination})]
+        if option.evicted is not None:
+            changes.insert(0, (option.evicted, self._holders[option.evicted] - {destination}))
         if option.swapped is not None:
-            back = (self._holders[option.swapped] - {place}) | {slowest}
-            wanted.append((option.swapped, back))
-        delta: dict[int, float] = {slowest: 0.0, place: 0.0}
-        for expert, new in wanted:
+            back = (self._holders[option.swapped] - {destination}) | {slowest}
+            changes.append((option.swapped, back))
+        delta: dict[int, float] = {slowest: 0.0, destination: 0.0}
+        for expert, new in changes:
             old = self._holders[expert]
             for rank in old:
                 delta[rank] = delta.get(rank, 0.0) - self._weights[expert] / len(old)
             for rank in new:
                 delta[rank] = delta.get(rank, 0.0) + self._weights[expert] / len(new)
-        peak = max(self._loads[r] + self._paces[r] * change for r, change in delta.items())
-        return LayerChange(peak, option.copies, tuple(wanted))
+        peak = max(self._loads[r] + self._slowdowns[r] * change for r, change in delta.items())
+        return LayerChange(peak, option.copies, tuple(changes))
--- a/src/canvasyoke/coordination/_lease.py
+++ b/src/canvasyoke/coordination/_lease.py
@@ -1,9 +1,9 @@
-"""Leases kept in the platform's object API, without comparing clocks.
+"""Leases in the platform's object API that need no synchronised clocks.
 
-A holder counts its lease from before the write that renewed it; whoever wants to
-take over waits until the lease's version has not moved for longer than the lease
-lasts, each on its own steady clock. Taking over begins with a conditional write
-on the lease itself, so a holder that wakes from a pause finds its renewal refused.
+The holder counts its lease from before the write that renewed it. A contender waits until the
+lease's version has been unchanged for longer than the lease lasts. Each uses its own monotonic
+clock. A takeover starts with a conditional write to the lease, so the renewal of a holder that
+was paused fails.
 """
 
 from __future__ import annotations
@@ -12,49 +12,49 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: Milliseconds a lease lasts from the start of the write that renewed it.
-LEASE: Final = 15 * SECOND
+#: Milliseconds a lease lasts, counted from the start of the write that renewed it.
+LEASE_DURATION: Final = 15 * SECOND
 #: Milliseconds between renewals.
-RENEW_EVERY: Final = 3 * SECOND
-#: Extra milliseconds a taker waits, for clocks that run at different rates.
-TAKE_MARGIN: Final = 1 * SECOND
+RENEW_INTERVAL: Final = 3 * SECOND
+#: Extra milliseconds a contender waits, to allow for clock drift.
+TAKEOVER_MARGIN: Final = 1 * SECOND
 
 
 class Lease:
-    """The holder's view: whether its lease stands at this moment."""
+    """A holder's record of its own lease."""
 
-    def __init__(self, clock: Clock, duration: int = LEASE) -> None:
+    def __init__(self, clock: Clock, duration: int = LEASE_DURATION) -> None:
         self._clock = clock
         self._duration = duration
-        self._until = 0
+        self._expires_at = 0
 
     @property
     def valid(self) -> bool:
-        """Tell whether the lease stands now."""
-        return self._clock.now() < self._until
+        """Return whether the lease is held now."""
+        return self._clock.now() < self._expires_at
 
-    def renewed(self, write_began: int) -> None:
-        """Note a renewal whose write began at ``write_began`` and took effect."""
-        self._until = max(self._until, write_began + self._duration)
+    def record_renewal(self, write_started_at: int) -> None:
+        """Record a successful renewal whose write began at ``write_started_at``."""
+        self._expires_at = max(self._expires_at, write_started_at + self._duration)
 
-    def lost(self) -> None:
-        """Note that another has taken it."""
-        self._until = 0
+    def mark_lost(self) -> None:
+        """Record that another process has taken the lease."""
+        self._expires_at = 0
 
 
-class LeaseWatch:
-    """A taker's view of others' leases: which versions have stood still too long."""
+class LeaseMonitor:
+    """Detects expired leases of other processes by versions that no longer change."""
 
-    def __init__(self, clock: Clock, duration: int = LEASE) -> None:
+    def __init__(self, clock: Clock, duration: int = LEASE_DURATION) -> None:
         self._clock = clock
-        self._limit = duration + TAKE_MARGIN
-        self._seen: dict[str, tuple[int, int]] = {}
+        self._takeover_delay = duration + TAKEOVER_MARGIN
+        self._observed: dict[str, tuple[int, int]] = {}
 
-    def lapsed(self, name: str, version: int) -> bool:
-        """Note that ``name`` is at ``version`` now; tell whether it has lapsed."""
+    def has_expired(self, name: str, version: int) -> bool:
+        """Record the current version of lease ``name``; return whether it has expired."""
         now = self._clock.now()
-        seen, since = self._seen.get(name, (-1, now))
-        if seen != version:
-            self._seen[name] = (version, now)
+        observed_version, since = self._observed.get(name, (-1, now))
+        if observed_version != version:
+            self._observed[name] = (version, now)
             return False
-        return now - since > self._limit
+        return now - since > self._takeover_delay
--- a/src/canvasyoke/coordination/_planner.py
+++ b/src/canvasyoke/coordination/_planner.py
@@ -1,9 +1,9 @@
-"""Planning a group's expert map: short steps, few moves.
+"""Plan a group's expert map: balance the ranks with few copies.
 
-A step ends when the slowest rank ends, so what counts is the most loaded rank
-against the mean. From the map in force the planner changes one copy at a time,
-always away from the most loaded rank, and only while the change repays its price;
-the operator's policy sets the price. A map that is good enough is left alone.
+A step ends when the slowest rank ends, so the objective is the load of the most loaded rank
+relative to the mean. Starting from the map in force, the planner moves load off the most loaded
+rank one copy at a time, as long as each change reduces skew by at least what the policy
+requires.
 """
 
 from __future__ import annotations
@@ -17,19 +17,23 @@
     Layer,
     LayerPlan,
     PlanPolicy,
-    chance_skew,
+    expected_noise_skew,
     layer_skew,
     rank_loads,
 )
 
-#: Part of the skew doubted that a rebuilt layer must gain: more than fitting the
-#: noise of one look would.
-_REAL: Final = 0.75
+#: Fraction of the ignored noise that rebuilding a layer must gain, so that a rebuild does not
+#: merely fit the noise of one sample.
+_REBUILD_NOISE_FACTOR: Final = 0.75
 
-#: Policies by the name that placement files use.
+#: Policies by the name used in placement files.
 POLICIES: Final = {
-    "skew-first": PlanPolicy(enough=1.03, price=0.001, budget=512, doubt=0.6),
-    "cost-first": PlanPolicy(enough=1.15, price=0.03, budget=16, doubt=1.0),
+    "skew-first": PlanPolicy(
+        acceptable_skew=1.03, min_gain_per_copy=0.001, max_copies=512, noise_factor=0.6
+    ),
+    "cost-first": PlanPolicy(
+        acceptable_skew=1.15, min_gain_per_copy=0.03, max_copies=16, noise_factor=1.0
+    ),
 }
 
 
@@ -40,7 +44,7 @@
     layers: tuple[Layer, ...]
 
     def copies_added(self, before: ExpertMap) -> int:
-        """Return the copies that must be loaded to come from ``before`` to this map."""
+        """Return the number of copies to load when changing from ``before`` to this map."""
         added = 0
         for new_layer, old_layer in zip(self.layers, before.layers, strict=True):
             for new, old in zip(new_layer, old_layer, strict=True):
@@ -53,7 +57,7 @@
 
 
 def initial_map(ranks: Sequence[int], experts: int, layers: int) -> ExpertMap:
-    """Return a map with each expert once, spread in turn over ``ranks``."""
+    """Return a map with one copy of each expert, assigned round-robin to ``ranks``."""
     layer = tuple((ranks[expert % len(ranks)],) for expert in range(experts))
     return ExpertMap((layer,) * layers)
 
@@ -62,18 +66,18 @@
     mapping: ExpertMap,
     loads: Loads,
     ranks: Sequence[int],
-    paces: Mapping[int, float] | None = None,
+    slowdowns: Mapping[int, float] | None = None,
 ) -> float:
     """Return the slowest rank's load over the mean rank's, summed over layers.
 
-    ``paces`` has the ranks that take longer for the same work, and how many times.
+    ``slowdowns`` maps slow ranks to their relative processing time.
     """
-    slow = paces or {}
+    factors = slowdowns or {}
     slowest = 0.0
     total = 0.0
     for layer, weights in zip(mapping.layers, loads, strict=True):
         per_rank = rank_loads(layer, weights, ranks)
-        slowest += max(load * slow.get(rank, 1.0) for rank, load in per_rank.items())
+        slowest += max(load * factors.get(rank, 1.0) for rank, load in per_rank.items())
         total += sum(weights)
     return slowest * len(ranks) / total if total else 1.0
 
@@ -81,27 +85,27 @@
 def plan_map(
     current: ExpertMap, loads: Loads, ranks: Sequence[int], capacity: int, policy: PlanPolicy
 ) -> ExpertMap:
-    """Return the next map; the same one when no change repays its price.
+    """Return the next map, or an equal one if no change is worthwhile.
 
-    ``loads`` are counts, smoothed or not: their size tells how much of a rank's
-    surplus is chance, and what chance explains is left alone. Ranks outside
-    ``ranks`` are emptied first, whatever that costs: they are gone.
+    ``loads`` are counts, smoothed or not; their size determines how much of the skew is
+    attributed to sampling noise and ignored. Experts on ranks outside ``ranks``, which have
+    failed, are reassigned first at any cost.
     """
-    budget = policy.budget
+    budget = policy.max_copies
     order = sorted(range(len(loads)), key=lambda i: -layer_skew(current.layers[i], loads[i], ranks))
     planned = {}
     for index in order:
         layer = LayerPlan(current.layers[index], loads[index], ranks, capacity)
-        layer.rescue()
+        layer.restore_lost_experts()
         before = layer.result()
-        moved = layer.improve(policy, budget)
+        copies = layer.improve(policy, budget)
         planned[index] = layer.result()
         rebuilt = _worthwhile_rebuild(
-            before, planned[index], moved, loads[index], ranks, capacity, policy
+            before, planned[index], copies, loads[index], ranks, capacity, policy
         )
-        if rebuilt is not None and _copies(before, rebuilt) <= budget:
-            planned[index], moved = rebuilt, _copies(before, rebuilt)
-        budget -= moved
+        if rebuilt is not None and _copies_added(before, rebuilt) <= budget:
+            planned[index], copies = rebuilt, _copies_added(before, rebuilt)
+        budget -= copies
     layers = [planned[index] for index in range(len(loads))]
     return ExpertMap(tuple(layers))
 
@@ -109,52 +113,58 @@
 def _worthwhile_rebuild(
     before: Layer,
     improved: Layer,
-    moved: int,
+    copies: int,
     weights: Sequence[float],
     ranks: Sequence[int],
     capacity: int,
     policy: PlanPolicy,
 ) -> Layer | None:
-    """Return a layer packed anew if it pays for the copies it takes beyond ``moved``.
+    """Return a rebuilt layer if it is worth its copies beyond ``copies``, else None.
 
-    Step by step the search can get stuck, most of all right after a sudden change.
+    The incremental search can end in a local optimum, especially after a demand shift.
     """
     skew = layer_skew(improved, weights, ranks)
-    real = _REAL * policy.doubt * chance_skew(sum(weights) / len(ranks), len(ranks))
-    if skew - 1 <= real:
+    min_gain = (
+        _REBUILD_NOISE_FACTOR
+        * policy.noise_factor
+        * expected_noise_skew(sum(weights) / len(ranks), len(ranks))
+    )
+    if skew - 1 <= min_gain:
         return None
     rebuilt = _rebuild(before, weights, ranks, capacity)
-    extra = _copies(before, rebuilt) - moved
+    extra_copies = _copies_added(before, rebuilt) - copies
     gain = skew - layer_skew(rebuilt, weights, ranks)
-    pays = extra > 0 and gain > max(real, policy.price * extra)
-    return rebuilt if pays else None
+    is_worthwhile = extra_copies > 0 and gain > max(
+        min_gain, policy.min_gain_per_copy * extra_copies
+    )
+    return rebuilt if is_worthwhile else None
 
 
-def _copies(before: Layer, after: Layer) -> int:
+def _copies_added(before: Layer, after: Layer) -> int:
     return sum(len(set(a) - set(b)) for a, b in zip(after, before, strict=True))
 
 
 def _rebuild(layer: Layer, weights: Sequence[float], ranks: Sequence[int], capacity: int) -> Layer:
-    """Return a layer packed anew, heaviest first, that keeps copies where it can.
+    """Return a layer rebuilt by greedy bin packing, heaviest expert first.
 
-    The hottest experts get the spare room; a copy stays on a rank that has it while
-    that rank is not filled beyond the mean.
+    The most loaded experts get the spare capacity. An existing copy stays on its rank as long as
+    that rank's load does not exceed the mean.
     """
     counts = _replica_counts(weights, len(ranks), len(ranks) * capacity)
-    target = sum(weights) / len(ranks)
+    mean_load = sum(weights) / len(ranks)
     loads = dict.fromkeys(ranks, 0.0)
     held = dict.fromkeys(ranks, 0)
     result: list[tuple[int, ...]] = [()] * len(layer)
     for expert in sorted(range(len(layer)), key=lambda e: -weights[e] / counts[e]):
         share = weights[expert] / counts[expert]
         old = sorted(layer[expert], key=lambda rank: loads[rank])
-        chosen = [rank for rank in old if held[rank] < capacity and loads[rank] + share <= target][
-            : counts[expert]
-        ]
+        chosen = [
+            rank for rank in old if held[rank] < capacity and loads[rank] + share <= mean_load
+        ][: counts[expert]]
         missing = counts[expert] - len(chosen)
         if missing:
-            able = (rank for rank in ranks if held[rank] < capacity and rank not in chosen)
-            chosen += heapq.nsmallest(missing, able, key=lambda rank: loads[rank])
+            eligible = (rank for rank in ranks if held[rank] < capacity and rank not in chosen)
+            chosen += heapq.nsmallest(missing, eligible, key=lambda rank: loads[rank])
         for rank in chosen:
             loads[rank] += weights[expert] / len(chosen)
             held[rank] += 1
@@ -162,13 +172,13 @@
     return tuple(result)
 
 
-def _replica_counts(weights: Sequence[float], ranks: int, room: int) -> list[int]:
-    """Return how many copies each expert gets when the hottest get the spare room."""
+def _replica_counts(weights: Sequence[float], ranks: int, total_capacity: int) -> list[int]:
+    """Return the number of copies of each expert, with spare capacity to the heaviest."""
     counts = [1] * len(weights)
     heap = [(-weight, expert) for expert, weight in enumerate(weights)]
     heapq.heapify(heap)
-    # A little room is left free, so that packing heaviest first can end well.
-    for _ in range(max(0, room - len(weights) - ranks // 4)):
+    # Leave some capacity free so that greedy packing can place the last experts well.
+    for _ in range(max(0, total_capacity - len(weights) - ranks // 4)):
         _, expert = heap[0]
         if counts[expert] >= ranks:
             break
--- a/src/canvasyoke/coordination/_retry.py
+++ b/src/canvasyoke/coordination/_retry.py
@@ -1,7 +1,7 @@
-"""Whether a failed attempt is followed by another.
+"""Decide whether to retry a failed attempt.
 
-Only certainty or repeatability allows a second attempt, and only within a budget
-that grows with successes, so that retries cannot multiply an overload.
+A request is retried only if it did not run or is idempotent, and only within a budget that grows
+with successes, so that retries cannot amplify an overload.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from canvasyoke.protocol import Outcome, Reason, Refusal
 
-#: Attempts at one request at the most.
+#: Maximum number of attempts for one request.
 MAX_ATTEMPTS: Final = 5
-#: Retries earned by each success.
-_EARNED: Final = 0.1
-_BUDGET_LIMIT: Final = 50.0
-_BUDGET_START: Final = 10.0
-#: Refusals that say nothing against trying another target at no cost to it.
-REDIRECTS: Final = frozenset({Reason.NOT_HOME, Reason.LEAVING, Reason.NO_CONFIGURATION})
-#: Refusals after which another attempt would only meet the same.
-_FINAL: Final = frozenset(
+#: Retry tokens added by each success.
+_TOKENS_PER_SUCCESS: Final = 0.1
+_MAX_TOKENS: Final = 50.0
+_INITIAL_TOKENS: Final = 10.0
+#: Refusals for which trying another target costs no retry token.
+REDIRECT_REASONS: Final = frozenset({Reason.NOT_HOME, Reason.LEAVING, Reason.NO_CONFIGURATION})
+#: Refusals that another attempt would meet again.
+_NON_RETRYABLE_REASONS: Final = frozenset(
     {
         Reason.DEADLINE,
         Reason.OVER_LIMIT,
@@ -39,19 +39,19 @@
 
 
 class RetryBudget:
-    """A share of successes that may be spent on retries; thread-safe."""
+    """Token bucket that limits retries to a fraction of successes; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._tokens = _BUDGET_START
+        self._tokens = _INITIAL_TOKENS
 
-    def earn(self) -> None:
-        """Note a success."""
+    def record_success(self) -> None:
+        """Add the tokens for one success."""
         with self._lock:
-            self._tokens = min(_BUDGET_LIMIT, self._tokens + _EARNED)
+            self._tokens = min(_MAX_TOKENS, self._tokens + _TOKENS_PER_SUCCESS)
 
-    def spend(self) -> bool:
-        """Take one retry; false when there is none left."""
+    def try_spend(self) -> bool:
+        """Take the token for one retry; return False if none is left."""
         with self._lock:
             if self._tokens < 1:
                 return False
@@ -59,35 +59,35 @@
             return True
 
 
-class Step(enum.Enum):
-    """What follows a failed attempt."""
+class RetryDecision(enum.Enum):
+    """Whether to retry a failed attempt."""
 
     RETRY = enum.auto()
     GIVE_UP = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
-class Attempted:
-    """An attempt that failed."""
+class FailedAttempt:
+    """A failed attempt, with what limits another one."""
 
     refusal: Refusal
-    repeatable: bool
-    #: Number of attempts made, redirects not counted.
+    is_idempotent: bool
+    #: Number of attempts made, excluding redirects.
     attempts: int
-    #: Milliseconds the caller will still wait.
-    remaining: int
-
-
-def next_step(attempted: Attempted, budget: RetryBudget) -> Step:
-    """Return whether another attempt may and should follow."""
-    refusal = attempted.refusal
-    certain = refusal.outcome is Outcome.NOT_RUN
-    if not (certain or attempted.repeatable):
-        return Step.GIVE_UP
-    if attempted.attempts >= MAX_ATTEMPTS or attempted.remaining <= 0:
-        return Step.GIVE_UP
-    if refusal.reason in _FINAL:
-        return Step.GIVE_UP
-    if refusal.reason in REDIRECTS or budget.spend():
-        return Step.RETRY
-    return Step.GIVE_UP
+    #: Milliseconds left until the caller's deadline.
+    remaining_time: int
+
+
+def decide_retry(attempt: FailedAttempt, budget: RetryBudget) -> RetryDecision:
+    """Return whether to retry, taking a token from ``budget`` if needed."""
+    refusal = attempt.refusal
+    did_not_run = refusal.outcome is Outcome.NOT_RUN
+    if not (did_not_run or attempt.is_idempotent):
+        return RetryDecision.GIVE_UP
+    if attempt.attempts >= MAX_ATTEMPTS or attempt.remaining_time <= 0:
+        return RetryDecision.GIVE_UP
+    if refusal.reason in _NON_RETRYABLE_REASONS:
+        return RetryDecision.GIVE_UP
+    if refusal.reason in REDIRECT_REASONS or budget.try_spend():
+        return RetryDecision.RETRY
+    return RetryDecision.GIVE_UP
--- a/src/canvasyoke/coordination/_routing.py
+++ b/src/canvasyoke/coordination/_routing.py
@@ -1,10 +1,9 @@
-"""Choosing a target: first what is ruled out, then which of the rest.
+"""Select a target: filter by hard constraints, then rank the remaining candidates.
 
-A constraint is never traded against a preference: a target that is leaving is
-not merely a worse one. Reports lag and many entries act at once, so an entry that
-always takes the least loaded target herds with all others; the default ranker
-draws two at random and takes the better by an estimate that corrects the report
-with what this entry has sent and seen end since.
+Hard constraints are never traded against preferences. Reports lag and many entries choose
+concurrently, so always taking the least loaded target causes herding. The default ranker
+compares two random candidates by a load estimate that corrects the last report with the requests
+this entry has sent and completed since.
 """
 
 from __future__ import annotations
@@ -18,227 +17,232 @@
 from canvasyoke._registry import Registry
 from canvasyoke.protocol import Reason
 
-#: Milliseconds that a target in another domain is taken to cost more.
-OTHER_DOMAIN_COST: Final = 2
-#: Milliseconds assumed for a request at a target that has ended none yet.
+#: Cost in milliseconds added for a target in another failure domain.
+CROSS_DOMAIN_COST: Final = 2
+#: Duration in milliseconds assumed for targets that have not completed a request.
 DEFAULT_DURATION: Final = 50
-#: Age of a report, in milliseconds, after which a target counts as unheard of.
-REPORT_LIMIT: Final = 10_000
+#: Age of a report, in milliseconds, after which a target is not eligible.
+MAX_REPORT_AGE: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailability:
-    """For how long a target certainly takes no request of this entry, by its own word."""
+    """A target's own statement that it accepts no requests from this entry for a time."""
 
     reason: Reason
-    #: Milliseconds.
-    wait: int
+    #: Milliseconds until it accepts requests again.
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """What an entry knows of one target when it chooses."""
+    """An entry's view of one target at selection time."""
 
     instance: str
     domain: str
     service: str
-    #: Whether the link to it stands.
+    #: Whether the link to the target is up.
     connected: bool
     leaving: bool
-    #: Whether its backend answered when it last reported.
+    #: Whether its backend was healthy at the last report.
     healthy: bool
-    #: Whether evidence from traffic speaks against it for now.
+    #: Whether passive health checks currently eject the target.
     ejected: bool
     slots: int
-    queue: int
-    #: Requests it reported running and waiting, and those of them that waited.
-    reported: int
-    waiting: int
+    queue_limit: int
+    #: Requests running and waiting at the last report, and those of them waiting.
+    reported_load: int
+    reported_waiting: int
     #: Milliseconds since the report arrived.
     report_age: int
-    #: Requests of this entry under way there at the time of the report, and now.
-    own_reported: int
-    own: int
-    #: Milliseconds a request takes there; 0 when unknown.
+    #: This entry's requests in flight at the time of the report, and now.
+    own_in_flight_at_report: int
+    own_in_flight: int
+    #: Mean duration of a request in milliseconds; 0 if unknown.
     duration: int
-    #: How much longer its steps last than those of the fastest group; 1 when unknown.
-    pace: float = 1.0
-    #: Whether it was dealt to this entry, so that others come there last.
-    is_home: bool = False
-    #: Why it certainly takes no request of this entry now; ``None`` if it does.
+    #: Step time relative to the fastest group; 1 if unknown.
+    slowdown: float = 1.0
+    #: Whether the target is assigned to this entry, so that others choose it last.
+    is_assigned: bool = False
+    #: Why the target accepts no requests from this entry; ``None`` if it does.
     unavailable: Unavailability | None = None
 
     @property
     def load(self) -> int:
-        """Return the requests it is estimated to have."""
-        return max(self.own, self.reported - self.own_reported + self.own)
+        """Return the estimated number of requests at the target."""
+        return max(
+            self.own_in_flight,
+            self.reported_load - self.own_in_flight_at_report + self.own_in_flight,
+        )
 
     @property
-    def taken(self) -> int:
-        """Return the slots estimated to be taken.
+    def used_slots(self) -> int:
+        """Return the estimated number of used slots.
 
-        What waits there is left out: it may be the backlog of one organisation that
-        nobody else will wait for.
+        Waiting requests are excluded: they may be the backlog of a single organisation, which
+        does not delay the others.
         """
-        return max(0, self.load - self.waiting)
+        return max(0, self.load - self.reported_waiting)
 
     @property
-    def has_room(self) -> bool:
-        """Tell whether a slot is estimated to be free."""
-        return self.taken < self.slots
+    def has_free_slot(self) -> bool:
+        """Return whether a slot is estimated to be free."""
+        return self.used_slots < self.slots
 
     @property
-    def wait(self) -> float:
-        """Return the milliseconds until a new request there would have ended."""
+    def expected_latency(self) -> float:
+        """Return the estimated milliseconds until a new request would complete."""
         duration = self.duration or DEFAULT_DURATION
-        ahead = self.taken if self.has_room else self.load
+        ahead = self.used_slots if self.has_free_slot else self.load
         return duration * (1 + ahead / max(1, self.slots))
 
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What a request needs of a target."""
+    """A request's requirements for target selection."""
 
     service: str
     domain: str
-    #: Targets that have been tried.
+    #: Instances of targets already tried.
     tried: frozenset[str] = frozenset()
-    #: Entries that choose among the same targets.
-    entries: int = 1
-    #: Those of them in the same failure domain.
-    near_entries: int = 1
+    #: Number of entries that choose among the same targets.
+    entry_count: int = 1
+    #: Number of those entries in the same failure domain.
+    domain_entry_count: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Filtered:
-    """Who may take a request, and why nobody may when nobody does."""
+class FilterResult:
+    """Eligible candidates, or the reason why there are none."""
 
     candidates: tuple[Candidate, ...]
-    #: The least hopeless cause among the targets ruled out.
+    #: Most recoverable reason among the excluded targets.
     reason: Reason = Reason.NO_TARGET
-    #: Milliseconds until the first of them takes requests again, where that is the cause.
-    wait: int = 0
+    #: Milliseconds until the first unavailable target accepts requests again.
+    retry_after: int = 0
 
 
-def filter_candidates(candidates: Sequence[Candidate], req: RouteRequest) -> Filtered:
+def filter_candidates(candidates: Sequence[Candidate], req: RouteRequest) -> FilterResult:
     """Return the targets that may take ``req``.
 
-    Ejection is evidence, not a rule: when all that is left is ejected, they are
-    allowed, since the last target must not be lost to a suspicion. One that is unavailable
-    is never allowed, however few are left: it has said so itself.
+    If all available targets are ejected, they are allowed, since ejection is only a heuristic.
+    Targets that have declared themselves unavailable are never allowed.
     """
-    able = [c for c in candidates if _is_able(c, req)]
-    available = [c for c in able if c.unavailable is None]
-    if able and not available:
-        first = min((c.unavailable for c in able if c.unavailable), key=lambda u: u.wait)
-        return Filtered((), first.reason, first.wait)
-    if not able:
+    eligible = [c for c in candidates if _is_eligible(c, req)]
+    available = [c for c in eligible if c.unavailable is None]
+    if eligible and not available:
+        first = min((c.unavailable for c in eligible if c.unavailable), key=lambda u: u.retry_after)
+        return FilterResult((), first.reason, first.retry_after)
+    if not eligible:
         leaving = any(c.leaving for c in candidates if c.service == req.service)
-        return Filtered((), Reason.LEAVING if leaving else Reason.NO_TARGET)
-    sound = [c for c in available if not c.ejected] or available
-    return Filtered(tuple(sound))
+        return FilterResult((), Reason.LEAVING if leaving else Reason.NO_TARGET)
+    preferred = [c for c in available if not c.ejected] or available
+    return FilterResult(tuple(preferred))
 
 
-def _is_able(candidate: Candidate, req: RouteRequest) -> bool:
+def _is_eligible(candidate: Candidate, req: RouteRequest) -> bool:
     return (
         candidate.service == req.service
         and candidate.connected
         and not candidate.leaving
         and candidate.healthy
-        and candidate.report_age <= REPORT_LIMIT
+        and candidate.report_age <= MAX_REPORT_AGE
         and candidate.instance not in req.tried
     )
 
 
 class Ranker(ABC):
-    """Chooses one of the targets that may take a request."""
+    """Selects one of the eligible targets."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     @abstractmethod
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return one of ``candidates``, of which there is at least one."""
+        """Return one of ``candidates``, which is not empty."""
 
 
-#: Entries that may choose among all targets at once.
-_FEW_ENTRIES: Final = 8
-#: Times that the samples of all entries together cover the targets, and the least of one.
-_SAMPLES: Final = 2
-_LEAST_SAMPLE: Final = 2
+#: Maximum number of entries for which each considers all targets.
+_MAX_UNSAMPLED_ENTRIES: Final = 8
+#: Expected number of samples, over all entries, that include each target; and the minimum size
+#: of a sample.
+_SAMPLE_COVERAGE: Final = 2
+_MIN_SAMPLE_SIZE: Final = 2
 
 #: Rankers by name.
 RANKERS: Registry[type[Ranker]] = Registry("ranker")
 
 
 def _cost(candidate: Candidate, req: RouteRequest) -> tuple[bool, float]:
-    """Return what to compare targets by: a free slot first, then the wait."""
-    away = OTHER_DOMAIN_COST if candidate.domain != req.domain else 0
-    return not candidate.has_room, candidate.wait + away
+    """Return a sort key: targets with a free slot first, then by latency."""
+    domain_cost = CROSS_DOMAIN_COST if candidate.domain != req.domain else 0
+    return not candidate.has_free_slot, candidate.expected_latency + domain_cost
 
 
 @RANKERS.register("random")
 class RandomRanker(Ranker):
-    """Any target alike; a baseline."""
+    """Selects uniformly at random; a baseline."""
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return one at random."""
+        """Return a random candidate."""
         return self._rng.choice(candidates)
 
 
 @RANKERS.register("round_robin")
 class RoundRobinRanker(Ranker):
-    """Each in turn; a baseline."""
+    """Selects in round-robin order; a baseline."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
         self._turn = rng.randrange(1 << 16)
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the next one."""
+        """Return the next candidate."""
         self._turn += 1
         return candidates[self._turn % len(candidates)]
 
 
 @RANKERS.register("least_reported")
 class LeastReportedRanker(Ranker):
-    """The lowest load reported; a baseline that herds when reports lag."""
+    """Selects the lowest reported load; a baseline prone to herding."""
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the least loaded by report, ties at random."""
-        return min(candidates, key=lambda c: (c.reported / max(1, c.slots), self._rng.random()))
+        """Return the candidate with the lowest reported load, breaking ties at random."""
+        return min(
+            candidates, key=lambda c: (c.reported_load / max(1, c.slots), self._rng.random())
+        )
 
 
 @RANKERS.register("two_choices_reported")
 class TwoChoicesReportedRanker(Ranker):
-    """The better of two by report alone; a baseline."""
+    """Power of two choices on reported load; a baseline."""
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the less loaded of two drawn at random."""
-        drawn = self._rng.sample(candidates, min(2, len(candidates)))
-        return min(drawn, key=lambda c: c.reported / max(1, c.slots))
+        """Return the less loaded of two random candidates."""
+        sample = self._rng.sample(candidates, min(2, len(candidates)))
+        return min(sample, key=lambda c: c.reported_load / max(1, c.slots))
 
 
 @RANKERS.register("two_choices")
 class TwoChoicesRanker(Ranker):
-    """The better of two by the corrected estimate of the wait; the default."""
+    """Power of two choices on estimated latency; the default."""
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the one of two drawn at random where the wait is shorter."""
-        drawn = self._rng.sample(candidates, min(2, len(candidates)))
-        return min(drawn, key=lambda c: _cost(c, req))
+        """Return the one of two random candidates with the lower latency."""
+        sample = self._rng.sample(candidates, min(2, len(candidates)))
+        return min(sample, key=lambda c: _cost(c, req))
 
 
 @RANKERS.register("least_loaded")
 class LeastLoadedRanker(Ranker):
-    """The lowest corrected load; ties go to the own domain, then to chance.
+    """Selects the lowest estimated load; ties prefer the local domain, then are random.
 
-    It does not herd where each choice shows in the next one's load: an entry's own
-    requests count at once, and other entries' are told several times a second.
+    Herding is limited because an entry's own requests count at once and other entries' loads are
+    reported several times a second.
     """
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the candidate with the smallest part of its slots in use."""
+        """Return the candidate with the lowest fraction of used slots."""
         return min(
             candidates,
             key=lambda c: (c.load / max(1, c.slots), c.domain != req.domain, self._rng.random()),
@@ -246,62 +250,63 @@
 
 
 @RANKERS.register("least_paced")
-class LeastPacedRanker(Ranker):
-    """As ``least_loaded``, with the load weighed by how long a step lasts there.
+class WeightedLoadRanker(Ranker):
+    """Selects the lowest estimated load, weighted by step time.
 
-    One slow rank holds up all steps of its group. The group keeps some requests, since
-    the others would be crowded without it, but fewer the slower it is.
+    A slow rank delays every step of its group, so the group gets fewer requests in proportion.
+    It keeps some to avoid overloading the others.
     """
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the candidate with the smallest weighed part of its slots in use."""
-        return min(candidates, key=lambda c: self._weigh(c, req))
+        """Return the candidate with the lowest weighted load."""
+        return min(candidates, key=lambda c: self._score(c, req))
 
-    def _weigh(self, candidate: Candidate, req: RouteRequest) -> tuple[float, bool, float]:
-        load = (candidate.load + 1) * candidate.pace / max(1, candidate.slots)
+    def _score(self, candidate: Candidate, req: RouteRequest) -> tuple[float, bool, float]:
+        load = (candidate.load + 1) * candidate.slowdown / max(1, candidate.slots)
         return load, candidate.domain != req.domain, self._rng.random()
 
 
 @RANKERS.register("sampled_paced")
-class SampledPacedRanker(LeastPacedRanker):
-    """As ``least_paced``, among a random sample that is smaller the more entries choose.
+class SampledWeightedLoadRanker(WeightedLoadRanker):
+    """As ``least_paced``, on a random sample that shrinks with the number of entries.
 
-    Entries hear of each other's choices some 150 ms late. A few of them rarely meet at
-    the one least loaded target in that time; thirty do, and crowd it while others idle.
+    Load reports lag, so many entries choosing among all targets would overload the least loaded
+    one.
     """
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return the best of the sample, or of all when none in it has room."""
-        if req.entries <= _FEW_ENTRIES:
+        """Return the best of the sample, or of all candidates if the sample has no free slot."""
+        if req.entry_count <= _MAX_UNSAMPLED_ENTRIES:
             return super().choose(candidates, req)
-        size = max(_LEAST_SAMPLE, len(candidates) * _SAMPLES // req.entries)
-        drawn = self._rng.sample(candidates, min(size, len(candidates)))
-        best = super().choose(drawn, req)
-        return best if best.has_room else super().choose(candidates, req)
+        size = max(_MIN_SAMPLE_SIZE, len(candidates) * _SAMPLE_COVERAGE // req.entry_count)
+        sample = self._rng.sample(candidates, min(size, len(candidates)))
+        best = super().choose(sample, req)
+        return best if best.has_free_slot else super().choose(candidates, req)
 
 
 @RANKERS.register("near_paced")
-class NearPacedRanker(LeastPacedRanker):
-    """What was dealt to the entry first, then its failure domain, then others.
+class LocalWeightedLoadRanker(WeightedLoadRanker):
+    """Prefers assigned targets, then the local failure domain, then other domains.
 
-    Among a hundred entries each hears only the load of its own domain's, late. What it
-    sent itself to the targets dealt to it, it knows. In the rest of the domain it draws
-    among few, since the others choose at the same moment; an answer from there does not
-    cross to another domain. Elsewhere it has seen next to nothing, and draws two.
+    Load information gets less accurate in that order. An entry knows its own requests to its
+    assigned targets exactly. It samples the rest of its domain, where other entries choose
+    concurrently, and takes the better of two random targets elsewhere.
     """
 
     def choose(self, candidates: Sequence[Candidate], req: RouteRequest) -> Candidate:
-        """Return one with room, from as near as can be."""
-        near = [c for c in candidates if c.domain == req.domain]
-        size = max(_LEAST_SAMPLE, len(near) * _SAMPLES // max(1, req.near_entries))
-        free = [c for c in near if c.has_room]
-        fastest = min((c.pace for c in free), default=1.0)
-        home = [c for c in free if c.is_home and c.pace <= fastest]
-        if home:
-            return super().choose(home, req)
+        """Return a candidate with a free slot, as local as possible."""
+        local = [c for c in candidates if c.domain == req.domain]
+        size = max(
+            _MIN_SAMPLE_SIZE, len(local) * _SAMPLE_COVERAGE // max(1, req.domain_entry_count)
+        )
+        free = [c for c in local if c.has_free_slot]
+        min_slowdown = min((c.slowdown for c in free), default=1.0)
+        assigned = [c for c in free if c.is_assigned and c.slowdown <= min_slowdown]
+        if assigned:
+            return super().choose(assigned, req)
         if free:
             return super().choose(self._rng.sample(free, min(size, len(free))), req)
-        far = [c for c in candidates if c.domain != req.domain and c.has_room]
-        if far:
-            return super().choose(self._rng.sample(far, min(_LEAST_SAMPLE, len(far))), req)
+        remote = [c for c in candidates if c.domain != req.domain and c.has_free_slot]
+        if remote:
+            return super().choose(self._rng.sample(remote, min(_MIN_SAMPLE_SIZE, len(remote))), req)
         return super().choose(candidates, req)
--- a/src/canvasyoke/coordination/tests/test_fair_queue.py
+++ b/src/canvasyoke/coordination/tests/test_fair_queue.py
@@ -1,11 +1,11 @@
 import pytest
 
 from canvasyoke import ManualClock
-from canvasyoke.coordination import FairQueue, Waiting
+from canvasyoke.coordination import FairQueue, QueuedRequest
 from canvasyoke.protocol import Outcome, Reason
 
 
-def waiting(
+def make_request(
     clock: ManualClock,
     item: str,
     organisation: str = "a",
@@ -13,12 +13,12 @@
     share: int = 1,
     ceiling: int = 0,
     wait: int = 60_000,
-) -> Waiting[str]:
+) -> QueuedRequest[str]:
     now = clock.now()
-    return Waiting(item, organisation, share, ceiling, priority, now, now + wait)
+    return QueuedRequest(item, organisation, share, ceiling, priority, now, now + wait)
 
 
-def drain(queue: FairQueue[str], running: list[Waiting[str]], count: int) -> list[str]:
+def drain(queue: FairQueue[str], running: list[QueuedRequest[str]], count: int) -> list[str]:
     """Finish one request after another; return the items in the order they start."""
     order: list[str] = []
     while running and len(order) < count:
@@ -28,78 +28,84 @@
     return order
 
 
-def test_starts_up_to_its_slots_then_queues_then_sheds() -> None:
+def test_requests_start_then_wait_then_are_shed() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=1)
-    assert queue.offer(waiting(clock, "1")).started
-    assert not queue.offer(waiting(clock, "2")).refused
-    refused = queue.offer(waiting(clock, "3")).refused
+    assert queue.offer(make_request(clock, "1")).started
+    assert not queue.offer(make_request(clock, "2")).refused
+    refused = queue.offer(make_request(clock, "3")).refused
     assert [(w.item, r.outcome, r.reason) for w, r in refused] == [
         ("3", Outcome.NOT_RUN, Reason.OVERLOADED)
     ]
     assert refused[0][1].retry_after > 0
 
 
-def test_shares_hold_against_a_flood() -> None:
+def test_shares_are_enforced_under_a_flood() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=1_000)
-    running = queue.offer(waiting(clock, "flood", "flood")).started
+    running = queue.offer(make_request(clock, "flood", "flood")).started
     for _ in range(100):
-        queue.offer(waiting(clock, "flood", "flood"))
+        queue.offer(make_request(clock, "flood", "flood"))
     clock.advance(5_000)
     for _ in range(10):
-        queue.offer(waiting(clock, "small", "small", share=2))
+        queue.offer(make_request(clock, "small", "small", share=2))
     order = drain(queue, running, 15)
-    assert order.count("small") == 10, "two thirds go to the double share, however old the flood"
+    assert order.count("small") == 10, (
+        "a double share gets two thirds of the slots regardless of the backlog's age"
+    )
 
 
 def test_full_queue_sheds_from_the_organisation_furthest_over_its_share() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=4)
     for number in range(5):
-        queue.offer(waiting(clock, f"flood-{number}", "flood"))
-    refused = queue.offer(waiting(clock, "small", "small")).refused
+        queue.offer(make_request(clock, f"flood-{number}", "flood"))
+    refused = queue.offer(make_request(clock, "small", "small")).refused
     assert [w.item for w, _ in refused] == ["flood-4"]
 
 
-def test_urgent_first_and_age_prevents_starvation() -> None:
+def test_priority_order_with_aging() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=100)
-    running = queue.offer(waiting(clock, "first")).started
-    queue.offer(waiting(clock, "late", priority=7))
-    queue.offer(waiting(clock, "urgent", priority=0))
+    running = queue.offer(make_request(clock, "first")).started
+    queue.offer(make_request(clock, "late", priority=7))
+    queue.offer(make_request(clock, "urgent", priority=0))
     assert drain(queue, running, 1) == ["urgent"]
     clock.advance(4_000)
-    queue.offer(waiting(clock, "urgent again", priority=0))
+    queue.offer(make_request(clock, "urgent again", priority=0))
     assert drain(queue, running, 1) == ["late"]
 
 
-def test_ceiling_is_kept() -> None:
+def test_ceiling_is_enforced() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=4, limit=4)
-    queue.offer(waiting(clock, "1", ceiling=1))
-    ((_, refusal),) = queue.offer(waiting(clock, "2", ceiling=1)).refused
+    queue.offer(make_request(clock, "1", ceiling=1))
+    ((_, refusal),) = queue.offer(make_request(clock, "2", ceiling=1)).refused
     assert refusal.reason is Reason.OVER_LIMIT
 
 
 @pytest.mark.parametrize("wait", [50, 5_000])
-def test_refuses_early_what_would_end_late(wait: int) -> None:
+def test_requests_that_would_miss_their_deadline_are_refused(wait: int) -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=100)
-    running = queue.offer(waiting(clock, "1")).started
+    running = queue.offer(make_request(clock, "1")).started
     clock.advance(100)
     queue.finish(running[0])
-    queue.offer(waiting(clock, "2"))
-    refused = queue.offer(waiting(clock, "3", wait=wait)).refused
+    queue.offer(make_request(clock, "2"))
+    refused = queue.offer(make_request(clock, "3", wait=wait)).refused
     assert bool(refused) == (wait < 100)
 
 
 def test_expired_requests_are_refused_as_not_run() -> None:
     clock = ManualClock()
     queue: FairQueue[str] = FairQueue(clock, slots=1, limit=100)
-    queue.offer(waiting(clock, "1"))
-    queue.offer(waiting(clock, "2", wait=10))
+    queue.offer(make_request(clock, "1"))
+    queue.offer(make_request(clock, "2", wait=10))
     clock.advance(10)
-    ((late, refusal),) = queue.expire().refused
-    assert (late.item, refusal.outcome, refusal.reason) == ("2", Outcome.NOT_RUN, Reason.DEADLINE)
+    ((expired, refusal),) = queue.expire().refused
+    assert (expired.item, refusal.outcome, refusal.reason) == (
+        "2",
+        Outcome.NOT_RUN,
+        Reason.DEADLINE,
+    )
     assert queue.waiting == 0
--- a/src/canvasyoke/coordination/tests/test_routing.py
+++ b/src/canvasyoke/coordination/tests/test_routing.py
@@ -6,18 +6,18 @@
 from canvasyoke import ManualClock
 from canvasyoke.coordination import (
     RANKERS,
-    Attempted,
     Candidate,
     Ejection,
+    FailedAttempt,
     RetryBudget,
+    RetryDecision,
     RouteRequest,
-    Step,
+    decide_retry,
     filter_candidates,
-    next_step,
 )
 from canvasyoke.protocol import Outcome, Reason, Refusal
 
-GOOD = Candidate(
+AVAILABLE = Candidate(
     instance="ink-1",
     domain="nbo-a",
     service="ink",
@@ -26,12 +26,12 @@
     healthy=True,
     ejected=False,
     slots=4,
-    queue=4,
-    reported=0,
-    waiting=0,
+    queue_limit=4,
+    reported_load=0,
+    reported_waiting=0,
     report_age=100,
-    own_reported=0,
-    own=0,
+    own_in_flight_at_report=0,
+    own_in_flight=0,
     duration=10,
 )
 REQUEST = RouteRequest("ink", "nbo-a")
@@ -47,127 +47,143 @@
         ({"report_age": 60_000}, Reason.NO_TARGET),
     ],
 )
-def test_what_rules_a_target_out(change: dict[str, object], reason: Reason) -> None:
-    other = dataclasses.replace(GOOD, **change)  # type: ignore[arg-type]
-    assert filter_candidates([GOOD, other], REQUEST).candidates == (GOOD,)
+def test_filter_excludes_ineligible_targets(change: dict[str, object], reason: Reason) -> None:
+    other = dataclasses.replace(AVAILABLE, **change)  # type: ignore[arg-type]
+    assert filter_candidates([AVAILABLE, other], REQUEST).candidates == (AVAILABLE,)
     assert filter_candidates([other], REQUEST).reason is reason
 
 
-def test_last_target_is_not_lost_to_ejection() -> None:
-    ejected = dataclasses.replace(GOOD, ejected=True)
+def test_filter_allows_ejected_targets_if_no_others_are_left() -> None:
+    ejected = dataclasses.replace(AVAILABLE, ejected=True)
     assert filter_candidates([ejected], REQUEST).candidates == (ejected,)
-    assert filter_candidates([ejected, GOOD], REQUEST).candidates == (GOOD,)
+    assert filter_candidates([ejected, AVAILABLE], REQUEST).candidates == (AVAILABLE,)
 
 
-def test_backlog_of_one_organisation_does_not_count_as_busy() -> None:
+def test_backlog_of_one_organisation_does_not_count_as_used_slots() -> None:
     ranker = RANKERS.get("two_choices")(random.Random(1))
-    flooded = dataclasses.replace(GOOD, instance="flooded", reported=54, waiting=50)
-    full = dataclasses.replace(GOOD, instance="full", reported=4)
-    free = dataclasses.replace(GOOD, instance="free", reported=53, waiting=50)
+    flooded = dataclasses.replace(
+        AVAILABLE, instance="flooded", reported_load=54, reported_waiting=50
+    )
+    full = dataclasses.replace(AVAILABLE, instance="full", reported_load=4)
+    free = dataclasses.replace(AVAILABLE, instance="free", reported_load=53, reported_waiting=50)
     assert all(ranker.choose([free, full], REQUEST) is free for _ in range(20))
     assert all(ranker.choose([flooded, full], REQUEST) is full for _ in range(20))
 
 
-def test_distance_does_not_outweigh_a_backlog() -> None:
+def test_remote_target_with_free_slot_is_preferred_to_local_backlog() -> None:
     ranker = RANKERS.get("two_choices")(random.Random(1))
-    near = dataclasses.replace(GOOD, instance="near", reported=9, waiting=5)
-    far = dataclasses.replace(GOOD, instance="far", domain="nbo-b", reported=5, waiting=1)
-    assert all(ranker.choose([near, far], REQUEST) is far for _ in range(20))
+    local = dataclasses.replace(AVAILABLE, instance="near", reported_load=9, reported_waiting=5)
+    remote = dataclasses.replace(
+        AVAILABLE, instance="far", domain="nbo-b", reported_load=5, reported_waiting=1
+    )
+    assert all(ranker.choose([local, remote], REQUEST) is remote for _ in range(20))
 
 
-def test_load_corrects_a_report_by_own_requests() -> None:
-    lagging = dataclasses.replace(GOOD, reported=5, own_reported=3, own=1)
+def test_load_is_corrected_by_own_requests_in_flight() -> None:
+    lagging = dataclasses.replace(
+        AVAILABLE, reported_load=5, own_in_flight_at_report=3, own_in_flight=1
+    )
     assert lagging.load == 3
 
 
 @pytest.mark.parametrize("name", RANKERS.names())
-def test_rankers_choose_among_the_candidates(name: str) -> None:
+def test_rankers_choose_every_candidate_eventually(name: str) -> None:
     ranker = RANKERS.get(name)(random.Random(1))
-    candidates = [dataclasses.replace(GOOD, instance=f"ink-{i}") for i in range(5)]
+    candidates = [dataclasses.replace(AVAILABLE, instance=f"ink-{i}") for i in range(5)]
     chosen = {ranker.choose(candidates, REQUEST).instance for _ in range(200)}
     assert chosen == {c.instance for c in candidates}
     assert ranker.choose(candidates[:1], REQUEST) is candidates[0]
 
 
-def test_ejection_lets_one_probe_through_and_doubles_the_pause() -> None:
+def test_ejection_allows_one_probe_and_doubles_the_backoff() -> None:
     clock = ManualClock()
     ejection = Ejection(clock)
-    ejection.failed()
+    ejection.record_failure()
     assert not ejection.ejected
-    ejection.failed()
+    ejection.record_failure()
     assert ejection.ejected
     clock.advance(1_000)
     assert not ejection.ejected, "half-open"
-    ejection.sent()
-    assert ejection.ejected, "one probe only"
-    ejection.failed()
+    ejection.record_request()
+    assert ejection.ejected, "only one probe"
+    ejection.record_failure()
     clock.advance(1_000)
-    assert ejection.ejected, "twice the pause"
+    assert ejection.ejected, "doubled backoff"
     clock.advance(1_000)
-    ejection.sent()
-    ejection.succeeded()
+    ejection.record_request()
+    ejection.record_success()
     assert not ejection.ejected
 
 
 @pytest.mark.parametrize(
-    ("outcome", "reason", "repeatable", "attempts", "remaining", "step"),
+    ("outcome", "reason", "is_idempotent", "attempts", "remaining_time", "decision"),
     [
-        (Outcome.NOT_RUN, Reason.OVERLOADED, False, 1, 100, Step.RETRY),
-        (Outcome.UNKNOWN, Reason.LINK_LOST, True, 1, 100, Step.RETRY),
-        (Outcome.UNKNOWN, Reason.LINK_LOST, False, 1, 100, Step.GIVE_UP),
-        (Outcome.NOT_RUN, Reason.DEADLINE, True, 1, 100, Step.GIVE_UP),
-        (Outcome.NOT_RUN, Reason.OVERLOADED, True, 5, 100, Step.GIVE_UP),
-        (Outcome.NOT_RUN, Reason.OVERLOADED, True, 1, 0, Step.GIVE_UP),
+        (Outcome.NOT_RUN, Reason.OVERLOADED, False, 1, 100, RetryDecision.RETRY),
+        (Outcome.UNKNOWN, Reason.LINK_LOST, True, 1, 100, RetryDecision.RETRY),
+        (Outcome.UNKNOWN, Reason.LINK_LOST, False, 1, 100, RetryDecision.GIVE_UP),
+        (Outcome.NOT_RUN, Reason.DEADLINE, True, 1, 100, RetryDecision.GIVE_UP),
+        (Outcome.NOT_RUN, Reason.OVERLOADED, True, 5, 100, RetryDecision.GIVE_UP),
+        (Outcome.NOT_RUN, Reason.OVERLOADED, True, 1, 0, RetryDecision.GIVE_UP),
     ],
 )
-def test_when_another_attempt_follows(
-    outcome: Outcome, reason: Reason, repeatable: bool, attempts: int, remaining: int, step: Step
+def test_retry_decision(
+    outcome: Outcome,
+    reason: Reason,
+    is_idempotent: bool,
+    attempts: int,
+    remaining_time: int,
+    decision: RetryDecision,
 ) -> None:
-    attempted = Attempted(Refusal(outcome, reason), repeatable, attempts, remaining)
-    assert next_step(attempted, RetryBudget()) is step
+    attempt = FailedAttempt(Refusal(outcome, reason), is_idempotent, attempts, remaining_time)
+    assert decide_retry(attempt, RetryBudget()) is decision
 
 
-def test_retries_stay_within_a_share_of_successes() -> None:
+def test_retry_budget_limits_retries_to_a_fraction_of_successes() -> None:
     budget = RetryBudget()
-    while budget.spend():
+    while budget.try_spend():
         pass
     for _ in range(100):
-        budget.earn()
-    assert 9 <= sum(budget.spend() for _ in range(100)) <= 10
+        budget.record_success()
+    assert 9 <= sum(budget.try_spend() for _ in range(100)) <= 10
 
 
-def _crowding(name: str, entries: int, targets: int, seed: int) -> int:
-    """Return the most requests that one target gets while entries do not hear of each
-    other: each sends one request by the same old picture, in which five are less loaded."""
+def _max_concurrent_choices(name: str, entries: int, targets: int, seed: int) -> int:
+    """Return the maximum number of requests that one target gets from concurrent entries.
+
+    Each entry sends one request, based on the same outdated loads, by which five targets are
+    less loaded.
+    """
     rng = random.Random(seed)
     candidates = [
-        dataclasses.replace(GOOD, instance=f"ink-{n}", reported=1 if n < 5 else 2)
+        dataclasses.replace(AVAILABLE, instance=f"ink-{n}", reported_load=1 if n < 5 else 2)
         for n in range(targets)
     ]
-    req = RouteRequest("ink", "nbo-a", entries=entries)
+    req = RouteRequest("ink", "nbo-a", entry_count=entries)
     chosen = [RANKERS.get(name)(rng).choose(candidates, req).instance for _ in range(entries)]
     return max(chosen.count(c.instance) for c in candidates)
 
 
-def test_many_entries_do_not_crowd_the_least_loaded_target() -> None:
+def test_sampling_prevents_herding_of_many_entries() -> None:
     seeds = range(20)
-    alike = [_crowding("least_paced", 30, 64, seed) for seed in seeds]
-    sampled = [_crowding("sampled_paced", 30, 64, seed) for seed in seeds]
-    assert min(alike) >= 6
-    assert sum(sampled) < 0.6 * sum(alike)
+    unsampled = [_max_concurrent_choices("least_paced", 30, 64, seed) for seed in seeds]
+    sampled = [_max_concurrent_choices("sampled_paced", 30, 64, seed) for seed in seeds]
+    assert min(unsampled) >= 6
+    assert sum(sampled) < 0.6 * sum(unsampled)
 
 
-def test_few_entries_choose_among_all() -> None:
+def test_few_entries_consider_all_candidates() -> None:
     ranker = RANKERS.get("sampled_paced")(random.Random(1))
-    others = [dataclasses.replace(GOOD, instance=f"ink-{n}", reported=2) for n in range(15)]
-    free = dataclasses.replace(GOOD, instance="free")
-    req = RouteRequest("ink", "nbo-a", entries=8)
+    others = [
+        dataclasses.replace(AVAILABLE, instance=f"ink-{n}", reported_load=2) for n in range(15)
+    ]
+    free = dataclasses.replace(AVAILABLE, instance="free")
+    req = RouteRequest("ink", "nbo-a", entry_count=8)
     assert all(ranker.choose([*others, free], req) is free for _ in range(20))
 
 
-def test_a_sample_without_room_is_not_the_last_word() -> None:
+def test_full_sample_falls_back_to_all_candidates() -> None:
     ranker = RANKERS.get("sampled_paced")(random.Random(1))
-    full = [dataclasses.replace(GOOD, instance=f"ink-{n}", reported=4) for n in range(63)]
-    free = dataclasses.replace(GOOD, instance="free")
-    req = RouteRequest("ink", "nbo-a", entries=30)
+    full = [dataclasses.replace(AVAILABLE, instance=f"ink-{n}", reported_load=4) for n in range(63)]
+    free = dataclasses.replace(AVAILABLE, instance="free")
+    req = RouteRequest("ink", "nbo-a", entry_count=30)
     assert all(ranker.choose([*full, free], req) is free for _ in range(20))
--- a/src/canvasyoke/direct/_backend_standing.py
+++ b/src/canvasyoke/direct/_backend_standing.py
@@ -80,7 +80,7 @@
                 for member in self._members.values()
                 if member.endpoint.service == service and not self._is_leaving(member)
             ]
-            return min((each.wait if each else 0 for each in found), default=0)
+            return min((each.retry_after if each else 0 for each in found), default=0)
 
     def limited_part(self, service: str) -> float:
         """Return the requests a second that this entry may send a service's limited backends."""
--- a/src/canvasyoke/direct/_pass_over.py
+++ b/src/canvasyoke/direct/_pass_over.py
@@ -101,7 +101,7 @@
 def unavailability(sources: Sources, member: Member) -> Unavailability | None:
     """Return the fact that keeps requests from a backend for longest; ``None`` for none."""
     found = (fact(sources, member) for fact in _FACTS)
-    return max((each for each in found if each), key=lambda each: each.wait, default=None)
+    return max((each for each in found if each), key=lambda each: each.retry_after, default=None)
 
 
 def is_suspect(sources: Sources, member: Member) -> bool:
--- a/src/canvasyoke/direct/_roster.py
+++ b/src/canvasyoke/direct/_roster.py
@@ -60,14 +60,14 @@
                 req,
             )
             if not found.candidates:
-                return NoneAble(found.reason, found.wait)
+                return NoneAble(found.reason, found.retry_after)
             best = self._ranker.choose(found.candidates, req)
             member = self._members[best.instance]
             duration = self._durations.get(wanted.service, _ASSUMED_DURATION)
             if not ADMISSIONS.get(_ADMISSION)(best, duration, wanted.patience):
                 return NoneAble(Reason.OVERLOADED)
             member.own += 1
-            member.ejection.sent()
+            member.ejection.record_request()
             self._words.sent(member.endpoint)
             heard_ago = self.clock.now() - member.heard_at
             return Chosen(member.endpoint, best.load, heard_ago, self._list_age())
@@ -84,15 +84,15 @@
             ejected=is_suspect(self._sources, member),
             unavailable=unavailability(self._sources, member) if has_words else None,
             slots=endpoint.slots,
-            queue=0,
-            reported=self._load(member),
-            waiting=0,
+            queue_limit=0,
+            reported_load=self._load(member),
+            reported_waiting=0,
             report_age=0,
-            own_reported=member.own,
-            own=member.own,
+            own_in_flight_at_report=member.own,
+            own_in_flight=member.own,
             duration=round(member.duration),
-            pace=self._groups.pace(endpoint.run, fastest) * self._health.pace(endpoint.run),
-            is_home=endpoint.run in self._home,
+            slowdown=self._groups.pace(endpoint.run, fastest) * self._health.pace(endpoint.run),
+            is_assigned=endpoint.run in self._home,
         )
 
     def is_away(self, service: str) -> bool:
@@ -151,9 +151,9 @@
                 return
             member.own = max(0, member.own - 1)
             if failed:
-                member.ejection.failed()
+                member.ejection.record_failure()
                 return
-            member.ejection.succeeded()
+            member.ejection.record_success()
             member.duration += _DURATION_WEIGHT * (duration - member.duration)
             service = member.endpoint.service
             mean = self._durations.get(service, float(duration))
--- a/src/canvasyoke/entry/_dispatch.py
+++ b/src/canvasyoke/entry/_dispatch.py
@@ -12,7 +12,14 @@
 import msgspec
 
 from canvasyoke._clock import SECOND, Clock
-from canvasyoke.coordination import REDIRECTS, Attempted, RetryBudget, RouteRequest, Step, next_step
+from canvasyoke.coordination import (
+    REDIRECT_REASONS,
+    FailedAttempt,
+    RetryBudget,
+    RetryDecision,
+    RouteRequest,
+    decide_retry,
+)
 from canvasyoke.entry._lines import Lines
 from canvasyoke.entry._peer import Attempt, Event, Events, Lost, Peer
 from canvasyoke.entry._peers import Peers
@@ -119,7 +126,7 @@
                 if not isinstance(piece, Refusal):
                     yield piece
             if isinstance(last, End):
-                self._budget.earn()
+                self._budget.record_success()
             if not isinstance(last, Refusal):
                 return
             if not self._try_again(call, last):
@@ -132,14 +139,14 @@
             return self._renew_key(call, refusal)
         if refusal.outcome is not Outcome.NOT_RUN:
             call.renew_key = None
-        if refusal.reason in REDIRECTS and not call.head_sent:
+        if refusal.reason in REDIRECT_REASONS and not call.head_sent:
             return self._follow_redirect(call)
-        attempted = Attempted(
+        attempted = FailedAttempt(
             refusal, call.run.repeatable, call.attempts, call.deadline - self._clock.now()
         )
         if call.head_sent and not (call.run.repeatable and call.resumable):
             return False
-        return next_step(attempted, self._budget) is Step.RETRY
+        return decide_retry(attempted, self._budget) is RetryDecision.RETRY
 
     def _renew_key(self, call: Call, refusal: Refusal) -> bool:
         """Make a new key once one may run; the old one never ran, nor did a caller know it."""
@@ -261,7 +268,7 @@
                     call.delivered += 1
                     yield event
                 case End():
-                    peer.ejection.succeeded()
+                    peer.ejection.record_success()
                     yield event
                     return
                 case Refused():
@@ -270,7 +277,7 @@
                         yield refusal
                         return
                 case Lost():
-                    peer.ejection.failed()
+                    peer.ejection.record_failure()
                     refusal = _lost("the target's process ended")
                     if not lines.go_on_without(source, refusal):
                         yield refusal
@@ -310,7 +317,7 @@
             Outcome(refused.outcome), Reason(refused.reason), refused.detail, refused.retry_after
         )
         if refusal.reason in _BLAMED:
-            peer.ejection.failed()
+            peer.ejection.record_failure()
         return refusal
 
     def _next_event(self, call: Call, lines: Lines) -> tuple[Attempt, Event] | Refusal | CallerGone:
@@ -340,7 +347,7 @@
             elif not down_since:
                 down_since = now
             elif now - down_since > patience:
-                current.peer.ejection.failed()
+                current.peer.ejection.record_failure()
                 return current, Lost()
 
 
--- a/src/canvasyoke/entry/_peer.py
+++ b/src/canvasyoke/entry/_peer.py
@@ -158,12 +158,12 @@
             healthy=report.healthy,
             ejected=self.ejection.ejected,
             slots=report.slots,
-            queue=queue_limit,
-            reported=report.running + report.queued,
-            waiting=report.queued,
+            queue_limit=queue_limit,
+            reported_load=report.running + report.queued,
+            reported_waiting=report.queued,
             report_age=self._clock.now() - self._reported_at,
-            own_reported=self._own_reported,
-            own=self.in_flight,
+            own_in_flight_at_report=self._own_reported,
+            own_in_flight=self.in_flight,
             duration=report.duration,
         )
 
@@ -175,7 +175,7 @@
                 return None
             attempt = Attempt(run, self, session.incarnation, events)
             self._attempts[run.request, run.attempt] = attempt
-        self.ejection.sent()
+        self.ejection.record_request()
         session.send(run)
         return attempt
 
--- a/src/canvasyoke/entry/_peers.py
+++ b/src/canvasyoke/entry/_peers.py
@@ -13,7 +13,7 @@
 from canvasyoke.coordination import (
     RANKERS,
     Candidate,
-    Filtered,
+    FilterResult,
     RouteRequest,
     filter_candidates,
     slot_of,
@@ -116,7 +116,7 @@
                     best, best_epoch = peer, claim.epoch
         return best or Reason.NOT_HOME
 
-    def _filter(self, req: RouteRequest) -> Filtered:
+    def _filter(self, req: RouteRequest) -> FilterResult:
         return filter_candidates(list(self._candidates(req.service)), req)
 
     def _candidates(self, service: str) -> Iterable[Candidate]:
--- a/src/canvasyoke/experts/_owner.py
+++ b/src/canvasyoke/experts/_owner.py
@@ -13,16 +13,16 @@
 
 from canvasyoke._clock import Clock
 from canvasyoke.coordination import (
-    DEMAND_ESTIMATES,
-    LEAST_SAVED,
-    DemandEstimate,
-    DemandSpan,
+    DEMAND_ESTIMATORS,
+    MIN_SAVINGS,
+    DemandEstimator,
+    DemandStabilityEstimator,
     ExpertMap,
     Layer,
-    MapStep,
-    MapTerms,
+    MapUpdate,
+    MapUpdateParameters,
     map_skew,
-    plan_map_step,
+    plan_map_update,
 )
 from canvasyoke.experts._change import MapChanger
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
@@ -70,7 +70,7 @@
         store: FleetStore,
         incarnation: str,
         geometry: RankGeometry,
-        demand: DemandSpan,
+        demand: DemandStabilityEstimator,
         results: Counter,
         clock: Clock,
     ) -> None:
@@ -85,7 +85,7 @@
         self._layers: tuple[Layer, ...] = ()
         #: Version that the layers belong to.
         self._version = 0
-        self._estimate: DemandEstimate | None = None
+        self._estimate: DemandEstimator | None = None
         #: Moves of demand seen when a change was last looked for, and when the last was.
         self._moves = 0
         self._moved_at = -_FOLLOW_UP
@@ -175,10 +175,10 @@
             if not counts:
                 return False
             frame = READ_EVERY * reading_rounds(sharing_ranks(self._group.size), len(counts))
-            self._estimate = DEMAND_ESTIMATES.get(_ESTIMATE)(frame)
-        return self._estimate.took(self._clock.wall(), counts)
+            self._estimate = DEMAND_ESTIMATORS.get(_ESTIMATE)(frame)
+        return self._estimate.add_counts(self._clock.wall(), counts)
 
-    def _improve(self, changer: MapChanger, estimate: DemandEstimate) -> bool:
+    def _improve(self, changer: MapChanger, estimate: DemandEstimator) -> bool:
         weights = self._by_layer(estimate.weights)
         if sum(estimate.weights) < _ENOUGH_COUNTS:
             return True
@@ -187,14 +187,14 @@
         paces = self._group.paces()
         if not paces:
             self.skew = map_skew(ExpertMap(self._layers), weights, ranks)
-            self._demand.saw(now, self.skew)
+            self._demand.record_skew(now, self.skew)
         else:  # what a slow rank does to the skew says nothing of demand
             self.skew = map_skew(ExpertMap(self._layers), weights, ranks, paces)
-        if estimate.is_moving:
+        if estimate.is_transitioning:
             _log.info("demand moves", group=self._group.name, skew=round(self.skew, 3))
             return True
-        has_moved = estimate.moves != self._moves
-        self._moves = estimate.moves
+        has_moved = estimate.shift_count != self._moves
+        self._moves = estimate.shift_count
         if has_moved:
             self._moved_at = now
         is_settled = self.skew < self._settled_skew + _UNSETTLED and now < self._settled_until
@@ -208,7 +208,7 @@
                 group=self._group.name,
                 skew=round(self.skew, 3),
                 counts=round(sum(estimate.weights)),
-                horizon=round(self._demand.expected),
+                horizon=round(self._demand.expected_duration),
                 took=self._clock.now() - began,
             )
             self._settled_skew, self._settled_until = self.skew, now + _SETTLED
@@ -222,29 +222,29 @@
         experts = self._geometry.experts
         return [weights[start : start + experts] for start in range(0, len(weights), experts)]
 
-    def _plan(self, weights: Sequence[Sequence[float]], paces: Mapping[int, float]) -> MapStep:
-        terms = MapTerms(
+    def _plan(self, weights: Sequence[Sequence[float]], paces: Mapping[int, float]) -> MapUpdate:
+        terms = MapUpdateParameters(
             capacity=self._geometry.capacity,
-            new_limit=self._geometry.new_limit,
+            max_new_experts=self._geometry.new_limit,
             copy_time=self._geometry.copy_time,
             overhead=_CHANGE_OVERHEAD,
-            horizon=self._demand.expected,
-            least_saved=self._least_saved(),
+            horizon=self._demand.expected_duration,
+            min_savings=self._least_saved(),
         )
-        return plan_map_step(self._layers, weights, range(self._group.size), terms, paces)
+        return plan_map_update(self._layers, weights, range(self._group.size), terms, paces)
 
     def _least_saved(self) -> float:
         """Return the part of the burden that a change must save now."""
-        is_quick = self._geometry.copy_time <= _QUICK_COPY * self._demand.expected
+        is_quick = self._geometry.copy_time <= _QUICK_COPY * self._demand.expected_duration
         is_after_move = self._clock.now() - self._moved_at < _FOLLOW_UP
-        return _FOLLOW_UP_SAVED if is_quick and is_after_move else LEAST_SAVED
+        return _FOLLOW_UP_SAVED if is_quick and is_after_move else MIN_SAVINGS
 
-    def _put_in_force(self, changer: MapChanger, step: MapStep) -> bool:
+    def _put_in_force(self, changer: MapChanger, step: MapUpdate) -> bool:
         assert self._fences is not None
         new = NewMap(
             version=self._fences.next(),
             layers_by_rank=_by_rank(step.layers, self._group.size),
-            copy_time=round(step.most_copies * self._geometry.copy_time),
+            copy_time=round(step.max_copies_per_rank * self._geometry.copy_time),
         )
         began = self._clock.now()
         result = changer.change(new)
@@ -255,10 +255,10 @@
             version=new.version,
             result=result.value,
             copies=step.copies,
-            most_copies=step.most_copies,
+            most_copies=step.max_copies_per_rank,
             skew_before=round(step.skew_before, 3),
             skew_planned=round(step.skew_after, 3),
-            horizon=round(self._demand.expected),
+            horizon=round(self._demand.expected_duration),
             took=self._clock.now() - began,
             taken=changer.times.taken,
             prepare=changer.times.prepare,
@@ -268,7 +268,7 @@
         )
         if result is ChangeResult.IN_FORCE:
             self._layers, self._version = step.layers, new.version
-            self._demand.began(self._clock.now())
+            self._demand.record_activation(self._clock.now())
         return self._settle(result)
 
 
--- a/src/canvasyoke/experts/_process.py
+++ b/src/canvasyoke/experts/_process.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from canvasyoke._clock import SECOND, Clock, SystemClock
-from canvasyoke.coordination import DemandSpan
+from canvasyoke.coordination import DemandStabilityEstimator
 from canvasyoke.experts._change_types import OWNER_RANK
 from canvasyoke.experts._far_group import FarGroup
 from canvasyoke.experts._linked_group import LinkedGroup
@@ -97,7 +97,7 @@
         self._owner: MapOwner | None = None
         self._standby: Standby | None = None
         #: Outlives the group's epochs: demand changes as often after one as before.
-        self._demand = DemandSpan()
+        self._demand = DemandStabilityEstimator()
         self._metrics = Metrics()
         self._results = self._metrics.counter(
             "canvasyoke_map_changes_total", "Changes of the group's map by result.", "result"
@@ -113,7 +113,7 @@
         self._metrics.gauge(
             "canvasyoke_demand_span_seconds",
             "Time for which demand is expected to stay as it is.",
-            lambda: self._demand.expected / SECOND,
+            lambda: self._demand.expected_duration / SECOND,
         )
         self._metrics.gauge(
             "canvasyoke_linked",
--- a/src/canvasyoke/experts/tests/test_owner.py
+++ b/src/canvasyoke/experts/tests/test_owner.py
@@ -8,7 +8,7 @@
 import pytest
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.coordination import DemandSpan, Layer, MapStep, initial_map
+from canvasyoke.coordination import DemandStabilityEstimator, Layer, MapUpdate, initial_map
 from canvasyoke.experts import _owner
 from canvasyoke.experts._change_types import ChangeResult
 from canvasyoke.experts._owner import MapOwner
@@ -79,11 +79,11 @@
     """Return the times at which a plan is made; none of them finds a change that pays."""
     times: list[int] = []
 
-    def plan(layers: Sequence[Layer], *_: object) -> MapStep:
+    def plan(layers: Sequence[Layer], *_: object) -> MapUpdate:
         times.append(clock.now())
-        return MapStep(tuple(layers), 1.5, 1.5)
+        return MapUpdate(tuple(layers), 1.5, 1.5)
 
-    monkeypatch.setattr(_owner, "plan_map_step", plan)
+    monkeypatch.setattr(_owner, "plan_map_update", plan)
     monkeypatch.setattr(_owner, "MapChanger", _Changer)
     return times
 
@@ -95,7 +95,7 @@
         _Store(),  # type: ignore[arg-type]
         "run-1",
         GEOMETRY,
-        DemandSpan(),
+        DemandStabilityEstimator(),
         counter,
         clock,
     )
--- a/src/canvasyoke/target/_desk.py
+++ b/src/canvasyoke/target/_desk.py
@@ -15,12 +15,12 @@
 from canvasyoke.backend import Backend, Done
 from canvasyoke.coordination import (
     FairQueue,
-    HomeView,
+    HandoverEntry,
+    HolderState,
+    IdempotencyCache,
     KeyedRequest,
-    KeyMemory,
-    KeyNote,
-    Offer,
-    Waiting,
+    QueuedRequest,
+    QueueUpdate,
     check_key,
 )
 from canvasyoke.observe import part_logger
@@ -55,7 +55,7 @@
     """A request the desk knows of."""
 
     work: Work
-    waiting: Waiting[Work]
+    waiting: QueuedRequest[Work]
     #: Time since which nobody has waited for it; 0 while somebody does.
     orphaned: int = 0
 
@@ -83,7 +83,7 @@
         self._on_load = on_load
         self._holding = NOTHING
         self._queue: FairQueue[Work] = FairQueue(clock, slots=1, limit=0)
-        self._memory = KeyMemory()
+        self._memory = IdempotencyCache()
         self._joinable: dict[str, Work] = {}
         self._known: dict[AttemptId, _Entry] = {}
         self._seen = SeenIds()
@@ -98,15 +98,15 @@
         if engine is not None:
             self._settle(self._queue.resize(engine.model.slots, engine.model.queue))
 
-    def hold(self, holding: Holding, inherited: Sequence[KeyNote]) -> None:
+    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
         """Take over the slots now held, and what a former holder ran."""
-        self._memory.inherit(inherited)
+        self._memory.import_entries(inherited)
         self._holding = holding
         self._tell_load()
 
     def surrender(self, holding: Holding, slots: Sequence[int]) -> Surrendered:
         """Keep to ``holding``; return what is known of ``slots``."""
-        keys = {slot: self._memory.notes(slot, self._holding.count) for slot in slots}
+        keys = {slot: self._memory.export_entries(slot, self._holding.count) for slot in slots}
         self._holding = holding
         self._tell_load()
         return Surrendered(keys, self._memory.dropped_before)
@@ -163,7 +163,7 @@
         if entry.work.has_readers:
             return
         refusal = Refusal(Outcome.NOT_RUN, Reason.CANCELLED, "cancelled before it ran")
-        if self._queue.withdraw(entry.waiting):
+        if self._queue.remove(entry.waiting):
             self._end_unrun(entry.work, refusal)
             Reader(session, request, attempt).refuse(refusal)
         elif entry.work.state is WorkState.READY:
@@ -181,7 +181,7 @@
         """Let go of an answer that arrived whole."""
         self._known.pop(AttemptId(session.incarnation, request, attempt), None)
 
-    def ended(self, waiting: Waiting[Work], refusal: Refusal | None) -> None:
+    def ended(self, waiting: QueuedRequest[Work], refusal: Refusal | None) -> None:
         """Note that the backend is done with a request."""
         work = waiting.item
         now = self._clock.now()
@@ -201,7 +201,7 @@
             self._look_after(key, entry, now)
         service = self._view.current.services.get(self._service)
         if service is not None:
-            self._memory.trim(self._clock.wall() - service.model.answer_keep_ms)
+            self._memory.evict(self._clock.wall() - service.model.answer_keep_ms)
 
     # How the desk goes about it.
 
@@ -242,12 +242,12 @@
             made = key_time(run.key)
         except MalformedKeyError as exc:
             return Refusal(Outcome.NOT_RUN, Reason.MALFORMED, str(exc))
-        view = HomeView(
-            held=self._holding.slots,
-            slots=self._holding.count,
+        view = HolderState(
+            held_slots=self._holding.slots,
+            slot_count=self._holding.count,
             lease_valid=self._lease.valid,
-            wall=self._clock.wall(),
-            keep=service.model.answer_keep_ms,
+            wall_time=self._clock.wall(),
+            retention=service.model.answer_keep_ms,
         )
         req = KeyedRequest(run.key, run.organisation, made, digest)
         verdict = check_key(req, view, self._memory)
@@ -274,7 +274,7 @@
     def _enter(self, work: Work, attempt: AttemptId, reader: Reader, engine: Engine) -> None:
         """Offer work to the queue."""
         organisation = self._view.current.organisations.get(work.run.organisation)
-        waiting = Waiting(
+        waiting = QueuedRequest(
             item=work,
             organisation=work.run.organisation,
             share=organisation.model.share if organisation else 1,
@@ -294,11 +294,11 @@
         """Let another attempt read the answer of work that is under way or done."""
         waiting = next((e.waiting for e in self._known.values() if e.work is work), None)
         if waiting is None:
-            waiting = Waiting(work, run.organisation, 1, 0, run.priority, 0, work.deadline)
+            waiting = QueuedRequest(work, run.organisation, 1, 0, run.priority, 0, work.deadline)
         self._known[attempt] = _Entry(work, waiting)
         work.attach(reader, run.offset)
 
-    def _settle(self, offer: Offer[Work]) -> None:
+    def _settle(self, offer: QueueUpdate[Work]) -> None:
         """Start and refuse what the queue decided."""
         for waiting, refusal in offer.refused:
             self._end_unrun(waiting.item, refusal)
@@ -312,14 +312,14 @@
             work.tell_started()
             self._run(waiting)
 
-    def _run(self, waiting: Waiting[Work]) -> None:
+    def _run(self, waiting: QueuedRequest[Work]) -> None:
         waiting.item.state = WorkState.RUNNING
         self._pool.submit(self._call, waiting)
 
     def _decline(self, entry: _Entry, refusal: Refusal) -> None:
         """Give back a slot that was held for an entry that does not want it."""
         self._end_unrun(entry.work, refusal)
-        self._settle(self._queue.decline(entry.waiting))
+        self._settle(self._queue.release_unused(entry.waiting))
 
     def _tell_load(self) -> None:
         self._on_load(self.load())
@@ -336,11 +336,11 @@
                 self._joinable.pop(_join_key(run, _digest(run)), None)
             return
         if refusal is not None and refusal.outcome is Outcome.NOT_RUN:
-            self._memory.forget(_memory_key(run))
+            self._memory.discard(_memory_key(run))
         else:
             self._memory.finish(_memory_key(run), work.size)
 
-    def _call(self, waiting: Waiting[Work]) -> None:
+    def _call(self, waiting: QueuedRequest[Work]) -> None:
         """Run one request on the backend; on a task of its own."""
         work = waiting.item
         refusal: Refusal | None
@@ -368,7 +368,7 @@
             self._drop_orphan(entry)
 
     def _drop_orphan(self, entry: _Entry) -> None:
-        if self._queue.withdraw(entry.waiting):
+        if self._queue.remove(entry.waiting):
             detail = "nobody waited for it any more"
             self._end_unrun(entry.work, Refusal(Outcome.NOT_RUN, Reason.CANCELLED, detail))
         elif entry.work.run.repeatable:
@@ -382,7 +382,7 @@
         self._desk = desk.proxy()
         self._on_change = on_change
 
-    def hold(self, holding: Holding, inherited: Sequence[KeyNote]) -> None:
+    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
         """Use these slots from now on."""
         self._desk.hold(holding, inherited).get()
         self._on_change(holding)
--- a/src/canvasyoke/target/_handovers.py
+++ b/src/canvasyoke/target/_handovers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from canvasyoke.coordination import Handover, KeyNote, slot_of
+from canvasyoke.coordination import Handover, HandoverEntry, slot_of
 from canvasyoke.state import CREATE, Found, Platform, Written
 
 _PREFIX: Final = "handover/"
@@ -22,7 +22,7 @@
         self._platform = platform
         self._service = service
 
-    def write(self, keys: Mapping[int, Sequence[KeyNote]], label: str) -> dict[int, str]:
+    def write(self, keys: Mapping[int, Sequence[HandoverEntry]], label: str) -> dict[int, str]:
         """Write down the keys of some slots; return the object of each slot written.
 
         Slots share objects, since nobody runs their keys meanwhile: with one object for
@@ -38,9 +38,9 @@
                 names.update(dict.fromkeys(slots, name))
         return names
 
-    def read(self, slots: Mapping[int, str], count: int) -> dict[int, list[KeyNote]]:
+    def read(self, slots: Mapping[int, str], count: int) -> dict[int, list[HandoverEntry]]:
         """Return the keys of each slot whose object can be read, ``count`` slots in all."""
-        keys: dict[int, list[KeyNote]] = {}
+        keys: dict[int, list[HandoverEntry]] = {}
         for name in set(slots.values()):
             found = self._platform.read(name)
             if not isinstance(found, Found):
@@ -58,7 +58,7 @@
             self._platform.delete(name)
 
 
-def _packed(keys: Mapping[int, Sequence[KeyNote]]) -> list[list[int]]:
+def _packed(keys: Mapping[int, Sequence[HandoverEntry]]) -> list[list[int]]:
     """Return the slots in groups that fit an object each; without those too large for one."""
     groups: list[list[int]] = []
     room = 0
--- a/src/canvasyoke/target/_homes.py
+++ b/src/canvasyoke/target/_homes.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from canvasyoke._clock import SECOND, Clock
-from canvasyoke.coordination import CLOCK_MARGIN, KeyNote, Slot, SlotTable
+from canvasyoke.coordination import CLOCK_MARGIN, HandoverEntry, Slot, SlotTable
 from canvasyoke.observe import part_logger
 from canvasyoke.state import CREATE, Absent, Platform, Unavailable, Written
 from canvasyoke.target._handovers import Handovers
@@ -62,7 +62,7 @@
     """What the desk knew of the slots it let go."""
 
     #: Keys that ran or run, by slot.
-    keys: dict[int, list[KeyNote]]
+    keys: dict[int, list[HandoverEntry]]
     #: Wall time before which keys may have been forgotten.
     forgotten_before: int
 
@@ -75,7 +75,7 @@
     """
 
     @abstractmethod
-    def hold(self, holding: Holding, inherited: Sequence[KeyNote]) -> None:
+    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
         """Use these slots from now on; the inherited keys have run."""
 
     @abstractmethod
--- a/src/canvasyoke/target/_lease_keeper.py
+++ b/src/canvasyoke/target/_lease_keeper.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from canvasyoke._clock import Clock
-from canvasyoke.coordination import RENEW_EVERY, Lease, LeaseWatch
+from canvasyoke.coordination import RENEW_INTERVAL, Lease, LeaseMonitor
 from canvasyoke.observe import part_logger
 from canvasyoke.state import CREATE, Absent, Conflict, Found, Platform, Unavailable, Written
 
@@ -47,9 +47,9 @@
         self.incarnation = incarnation
         self._losses = 0
         self._address = address
-        self._watch = LeaseWatch(clock)
+        self._watch = LeaseMonitor(clock)
         self._version = -1
-        self._renewed = -RENEW_EVERY
+        self._renewed = -RENEW_INTERVAL
 
     @property
     def valid(self) -> bool:
@@ -58,13 +58,13 @@
 
     def keep(self) -> bool:
         """Renew the lease if it is time; false when another has taken it."""
-        if self._clock.now() - self._renewed >= RENEW_EVERY:
+        if self._clock.now() - self._renewed >= RENEW_INTERVAL:
             return self._renew()
         return True
 
     def end(self) -> None:
         """Give the lease back, so that others need not wait for it to lapse."""
-        self._lease.lost()
+        self._lease.mark_lost()
         if self._version >= 0:
             self._platform.write(self._key, self._record(ended=True), self._version)
 
@@ -83,7 +83,7 @@
         if isinstance(result, Written):
             self._version = result.version
             self._renewed = began
-            self._lease.renewed(began)
+            self._lease.record_renewal(began)
             return True
         if isinstance(result, Conflict) or result.ambiguous:
             return self._check_lost()
@@ -104,7 +104,7 @@
             return True
         record = msgspec.json.decode(found.value, type=LeaseRecord)
         over = record.ended or record.address == self._address
-        if not over and not self._watch.lapsed(self._key, found.version):
+        if not over and not self._watch.has_expired(self._key, found.version):
             return False
         self._version = found.version
         return True
@@ -125,7 +125,7 @@
         if record.incarnation == self.incarnation and not record.ended:
             return True
         _log.warning("lease was taken by another", service=self._service)
-        self._lease.lost()
+        self._lease.mark_lost()
         self._losses += 1
         self.incarnation = f"{self.incarnation.partition('.')[0]}.{self._losses}"
         return False
@@ -155,7 +155,7 @@
         record = msgspec.json.decode(found.value, type=LeaseRecord)
         if record.ended:
             return False
-        if not self._watch.lapsed(key, found.version):
+        if not self._watch.has_expired(key, found.version):
             return True
         broken = msgspec.json.encode(LeaseRecord(record.incarnation, record.address, True))
         result = self._platform.write(key, broken, found.version)
--- a/src/canvasyoke/target/_owner.py
+++ b/src/canvasyoke/target/_owner.py
@@ -22,9 +22,9 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.coordination import (
     POLICIES,
-    RENEW_EVERY,
+    RENEW_INTERVAL,
     ExpertMap,
-    LeaseWatch,
+    LeaseMonitor,
     initial_map,
     plan_map,
 )
@@ -99,7 +99,7 @@
         self._group = group
         self._links = links
         self._rng = rng
-        self._watch = LeaseWatch(clock, OWNER_LEASE)
+        self._watch = LeaseMonitor(clock, OWNER_LEASE)
         self._stop = threading.Event()
         self._task = threading.Thread(target=self._run, name="map-owner", daemon=True)
         self._epoch = 0
@@ -143,7 +143,7 @@
         """Contend or look after the group once; return the pause until the next time."""
         if not self._epoch:
             self._contend(group)
-        elif self._clock.now() - self._renewed >= RENEW_EVERY:
+        elif self._clock.now() - self._renewed >= RENEW_INTERVAL:
             self._renew(group)
         if not self._epoch:
             return 1 * SECOND
@@ -163,7 +163,7 @@
             record = msgspec.json.decode(found.value, type=OwnerRecord)
             version, epoch = found.version, record.epoch
             own = (record.instance, record.incarnation) == (self._instance, self._incarnation)
-            if not own and record.instance and not self._watch.lapsed(key, version):
+            if not own and record.instance and not self._watch.has_expired(key, version):
                 return
         record = OwnerRecord(self._instance, self._incarnation, epoch + 1)
         result = self._platform.write(key, msgspec.json.encode(record), version)
--- a/src/canvasyoke/target/tests/test_handovers.py
+++ b/src/canvasyoke/target/tests/test_handovers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from canvasyoke.coordination import KeyNote, slot_of
+from canvasyoke.coordination import HandoverEntry, slot_of
 from canvasyoke.target._handovers import Handovers
 from fakes.memory_platform import MemoryPlatform
 
@@ -24,11 +24,11 @@
 ]
 
 
-def notes(slot: int, count: int) -> list[KeyNote]:
+def notes(slot: int, count: int) -> list[HandoverEntry]:
     """Return notes of keys that fall into ``slot``."""
     names = (f"org/{slot}-{number}" for number in range(COUNT * (count * 2 + 40)))
     found = [name for name in names if slot_of(name.split("/", 1)[1], COUNT) == slot]
-    return [KeyNote(name, 1, b"d") for name in found[:count]]
+    return [HandoverEntry(name, 1, b"d") for name in found[:count]]
 
 
 @pytest.mark.parametrize(("case", "sizes", "objects", "without"), PACKINGS)
--- a/src/canvasyoke/target/tests/test_homes.py
+++ b/src/canvasyoke/target/tests/test_homes.py
@@ -7,10 +7,10 @@
 
 from canvasyoke import ManualClock
 from canvasyoke.coordination import (
-    HomeView,
+    HandoverEntry,
+    HolderState,
+    IdempotencyCache,
     KeyedRequest,
-    KeyMemory,
-    KeyNote,
     check_key,
     slot_of,
 )
@@ -27,15 +27,15 @@
     """Remembers and runs keys as the real desk does, in the test's own time."""
 
     def __init__(self) -> None:
-        self.memory = KeyMemory()
+        self.memory = IdempotencyCache()
         self.holding = NOTHING
 
-    def hold(self, holding: Holding, inherited: Sequence[KeyNote]) -> None:
-        self.memory.inherit(inherited)
+    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
+        self.memory.import_entries(inherited)
         self.holding = holding
 
     def surrender(self, holding: Holding, slots: Iterable[int]) -> Surrendered:
-        keys = {s: self.memory.notes(s, self.holding.count) for s in slots}
+        keys = {s: self.memory.export_entries(s, self.holding.count) for s in slots}
         self.holding = holding
         return Surrendered(keys, self.memory.dropped_before)
 
@@ -67,7 +67,9 @@
         """Run a key; return ``ran`` or the reason of the refusal."""
         req = KeyedRequest(key, "org", made, b"d")
         holding = self.desk.holding
-        view = HomeView(holding.slots, holding.count, self.lease.valid, self._clock.wall(), 600_000)
+        view = HolderState(
+            holding.slots, holding.count, self.lease.valid, self._clock.wall(), 600_000
+        )
         verdict = check_key(req, view, self.desk.memory)
         if verdict.refusal is not None:
             return verdict.refusal.reason
