--- a/src/canvasyoke/coordination/__init__.py
+++ b/src/canvasyoke/coordination/__init__.py
@@ -4,15 +4,15 @@
 and benchmarks run the same code as the processes.
 """
 
-from canvasyoke.coordination._demand import DemandStabilityEstimator
 from canvasyoke.coordination._demand_estimate import (
     DEMAND_ESTIMATORS,
     DemandEstimator,
     total_variation_distance,
 )
+from canvasyoke.coordination._demand_stability import DemandStabilityEstimator
 from canvasyoke.coordination._ejection import Ejection
 from canvasyoke.coordination._fair_queue import FairQueue, QueuedRequest, QueueUpdate
-from canvasyoke.coordination._homes import (
+from canvasyoke.coordination._key_ownership import (
     CLOCK_MARGIN,
     Handover,
     HandoverEntry,
@@ -28,7 +28,7 @@
 )
 from canvasyoke.coordination._layer_plan import Layer, PlanPolicy
 from canvasyoke.coordination._lease import LEASE_DURATION, RENEW_INTERVAL, Lease, LeaseMonitor
-from canvasyoke.coordination._map_step import (
+from canvasyoke.coordination._map_update import (
     MIN_SAVINGS,
     MapUpdate,
     MapUpdateParameters,
