--- a/src/canvasyoke/direct/_backend_exchange.py
+++ b/src/canvasyoke/direct/_backend_exchange.py
@@ -1,8 +1,8 @@
-"""What entries tell each other of the list of backends.
+"""Synchronizes the list of backends among entries.
 
-A link loses nothing while it stands and keeps the order. So an entry that hears over a link
-that the other one knows all changes up to a position has heard of them itself, unless they are
-older than the link; then it asks for the whole list.
+A link delivers all messages in order while it is up. So when a peer reports the position up to
+which it knows all changes, this entry has received them too, except those older than the link;
+for these it requests the whole list once.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Final
 
 from canvasyoke._clock import Clock
-from canvasyoke.direct._backend_news import to_endpoint, to_news
+from canvasyoke.direct._backend_news import to_backend_news, to_endpoint
 from canvasyoke.direct._known_backends import BackendChange
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
@@ -21,57 +21,57 @@
 from canvasyoke.transport import Session
 
 _log = part_logger("peers")
-#: Milliseconds between questions for all backends, one for each link that is new.
-_LIST_AGAIN: Final = 200
+#: Least milliseconds between two requests for a whole list.
+_LIST_REQUEST_INTERVAL: Final = 200
 
 
 class BackendExchange:
-    """Takes and passes on lists and news of backends."""
+    """Receives and forwards lists and changes of backends."""
 
     def __init__(
         self,
         roster: Roster,
-        tell_all: Callable[[Message, Session | None], None],
-        tell_position: Callable[[], None],
+        broadcast: Callable[[Message, Session | None], None],
+        announce_position: Callable[[], None],
         clock: Clock,
     ) -> None:
         self._roster = roster
-        self._tell_all = tell_all
-        self._tell_position = tell_position
+        self._broadcast = broadcast
+        self._announce_position = announce_position
         self._clock = clock
-        self._listed_at = -_LIST_AGAIN
-        #: Sessions over which all older changes of backends have come. Held weakly: the
-        #: end of one that its peer has replaced by another is not told.
-        self._caught_up: weakref.WeakSet[Session] = weakref.WeakSet()
+        self._list_requested_at = -_LIST_REQUEST_INTERVAL
+        #: Sessions over which a whole list was received. Weak references, since ``closed`` is
+        #: not called for a session that its peer has replaced.
+        self._synced: weakref.WeakSet[Session] = weakref.WeakSet()
 
-    def tell(self, change: BackendChange) -> None:
-        """Pass on what the store said of a backend."""
-        self._tell_all(to_news(change), None)
+    def share(self, change: BackendChange) -> None:
+        """Send the other entries a change that was read from the store."""
+        self._broadcast(to_backend_news(change), None)
 
     def closed(self, session: Session) -> None:
-        """Take note that a link has ended."""
-        self._caught_up.discard(session)
+        """Forget a link that has ended."""
+        self._synced.discard(session)
 
-    def heard_up_to(self, position: int, age: int, session: Session) -> None:
-        """Take note of the position up to which another entry knows all backends."""
+    def peer_knows_up_to(self, position: int, age: int, session: Session) -> None:
+        """Handle the position up to which another entry knows all changes."""
         now = self._clock.now()
-        if session in self._caught_up and not self._roster.wants_list:
+        if session in self._synced and not self._roster.wants_list:
             self._roster.knows_up_to(position)
             self._roster.confirmed(age)
-        elif position and now - self._listed_at >= _LIST_AGAIN:
-            self._listed_at = now
+        elif position and now - self._list_requested_at >= _LIST_REQUEST_INTERVAL:
+            self._list_requested_at = now
             session.send(BackendsWanted())
 
-    def all(self) -> BackendList:
+    def snapshot(self) -> BackendList:
         """Return all backends, with the position up to which the list is complete."""
         position = self._roster.position
         changes = [BackendChange(e, False, e.position) for e in self._roster.endpoints()]
-        backends = [to_news(change) for change in changes]
+        backends = [to_backend_news(change) for change in changes]
         return BackendList(position, backends, self._roster.groups())
 
-    def took_list(self, session: Session, listed: BackendList) -> None:
-        """Take all backends from another entry, and pass on what was new."""
-        self._caught_up.add(session)
+    def receive_list(self, session: Session, listed: BackendList) -> None:
+        """Merge another entry's list, and forward what was new."""
+        self._synced.add(session)
         changes = self._roster.merge(
             [to_endpoint(news) for news in listed.backends], listed.revision
         )
@@ -83,21 +83,21 @@
             peer=session.peer,
         )
         for change in changes:
-            self._tell_all(to_news(change), session)
+            self._broadcast(to_backend_news(change), session)
         for backend, group in listed.groups.items():
             if self._roster.learn_group(backend, group):
-                self._tell_all(GroupNews(backend, group), session)
-        self._tell_position()
+                self._broadcast(GroupNews(backend, group), session)
+        self._announce_position()
 
-    def took_news(self, session: Session, news: BackendNews) -> None:
-        """Take word of one backend from another entry; pass it on or put it right."""
+    def receive_news(self, session: Session, news: BackendNews) -> None:
+        """Apply another entry's change of a backend, and forward it or answer with a correction."""
         change = BackendChange(to_endpoint(news), news.gone, news.revision, news.was_lost)
         if not self._roster.hear(change):
             answer = self._roster.refute(change)
             if answer is not None:
-                session.send(to_news(answer))
+                session.send(to_backend_news(answer))
             return
-        self._tell_all(news, session)
+        self._broadcast(news, session)
         _log.info(
             "backend news",
             backend=news.id,
--- a/src/canvasyoke/direct/_backend_limits.py
+++ b/src/canvasyoke/direct/_backend_limits.py
@@ -1,9 +1,9 @@
-"""How many requests a second backends take from all entries together, and this entry's part.
+"""Rate limits of backends, and this entry's share of them.
 
-A backend in need names a rate. Each entry that has heard of it, from the backend or from another
-entry, keeps to its part of that rate by a bucket of its own, which nobody has to be asked about.
-Among few entries each may save one request. Among more a burst would bring the saved one of
-each: there tokens perish, and a part of the rate stays unused, since nobody deals the moments.
+A backend under load can limit the requests a second that it accepts from all entries together.
+Each entry that knows the limit enforces its own share with a local token bucket, without
+coordination. In a small fleet each entry may store one token. In a large fleet the stored tokens
+could all be spent in one burst, so unused tokens expire and part of the rate stays unused.
 """
 
 from __future__ import annotations
@@ -16,173 +16,176 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: What a backend bears for a while beyond its rate: so many seconds of it, so many times as
-#: much, and so many requests more.
-_BORNE_FOR_S: Final = 4
-_BORNE_TIMES: Final = 1.5
-_BORNE_MORE: Final = 5
-#: Part of the rate that is used where entries are many. Their tokens come at moments that are
-#: independent of each other and may fall together, by so many standard deviations.
-_USED_OF_MANY: Final = 0.8
+#: What a backend tolerates in a window of so many seconds: a multiple of its rate limit, plus a
+#: fixed number of requests.
+_TOLERANCE_WINDOW_S: Final = 4
+_TOLERANCE_FACTOR: Final = 1.5
+_TOLERANCE_EXTRA: Final = 5
+#: Fraction of the rate that a large fleet uses. Its tokens arrive independently of each other;
+#: the lifetime of a token keeps the sum within the tolerance by so many standard deviations.
+_LARGE_FLEET_UTILIZATION: Final = 0.8
 _DEVIATIONS: Final = 3.0
-#: Seconds of an entry's part that it may send at once, beyond one request.
+#: Seconds of an entry's share that it may send at once, beyond one request.
 _BURST_S: Final = 1.0
-#: Least rate that is kept to, in requests a second of all entries: a backend that takes none
-#: at all could never say otherwise.
-_LEAST_RATE: Final = 0.05
+#: Lowest rate that is enforced, in requests a second of all entries. Limits are only updated by
+#: answers, so some requests must always be sent.
+_MIN_RATE: Final = 0.05
 
-#: Runs of which rates are kept; the oldest are dropped first.
-_LIMIT: Final = 10_000
+#: Runs for which limits are kept; the oldest are dropped first.
+_MAX_RUNS: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class RateWord:
-    """A backend's word on the rate that it takes."""
+class RateLimit:
+    """A rate limit as stated by a backend."""
 
-    #: Requests a second of all entries; ``None`` where it takes whatever comes.
+    #: Requests a second of all entries; ``None`` for no limit.
     rate: float | None
-    #: Milliseconds since an entry heard it from the backend.
+    #: Milliseconds since an entry received it from the backend.
     age: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """This entry's part of what the backends of a service take."""
+    """This entry's share of the rate limits of a service's backends."""
 
     #: 0 to 1; those of all entries add up to 1.
-    part: float
-    #: How many entries have one.
+    fraction: float
+    #: Number of entries that have a share.
     entries: int
 
 
 #: The share of an entry that is alone.
-ALONE: Final = Share(1.0, 1)
+WHOLE_SHARE: Final = Share(1.0, 1)
 
 
 @dataclass(frozen=True, slots=True)
-class _Flow:
-    """How an entry's tokens for one backend come and go."""
+class _RefillPolicy:
+    """How an entry's tokens for one backend are added and expire."""
 
     #: Tokens a second.
-    part: float
-    #: Tokens that come while one that is not used lives; one or more if it never perishes.
-    saved: float
+    refill_rate: float
+    #: Tokens added during the lifetime of an unused one; 1 or more if tokens do not expire.
+    tokens_per_lifetime: float
 
     @classmethod
-    def of(cls, rate: float, share: Share) -> _Flow:
-        """Return the flow of a share of a rate."""
-        borne = _BORNE_TIMES * _BORNE_FOR_S * rate + _BORNE_MORE
-        sent = (_BORNE_FOR_S + _BURST_S) * rate
-        if share.entries <= borne - sent:
-            return cls(rate * share.part, 1.0)
-        # The mean that is exceeded by what is borne only at so many deviations from it.
-        mean = ((math.sqrt(_DEVIATIONS**2 + 4 * borne) - _DEVIATIONS) / 2) ** 2
-        life = mean / (_USED_OF_MANY * rate) - _BORNE_FOR_S
-        part = rate * share.part * _USED_OF_MANY
-        return cls(part, min(1.0, max(0.0, part * life)))
+    def of(cls, limit: float, share: Share) -> _RefillPolicy:
+        """Return the policy for a share of a rate limit."""
+        tolerated = _TOLERANCE_FACTOR * _TOLERANCE_WINDOW_S * limit + _TOLERANCE_EXTRA
+        sent = (_TOLERANCE_WINDOW_S + _BURST_S) * limit
+        if share.entries <= tolerated - sent:
+            return cls(limit * share.fraction, 1.0)
+        # The mean of a Poisson distribution that stays within the tolerance by _DEVIATIONS.
+        mean = ((math.sqrt(_DEVIATIONS**2 + 4 * tolerated) - _DEVIATIONS) / 2) ** 2
+        lifetime = mean / (_LARGE_FLEET_UTILIZATION * limit) - _TOLERANCE_WINDOW_S
+        refill_rate = limit * share.fraction * _LARGE_FLEET_UTILIZATION
+        return cls(refill_rate, min(1.0, max(0.0, refill_rate * lifetime)))
 
 
 @dataclass(slots=True)
-class _Bucket:
+class _TokenBucket:
     """Not thread-safe."""
 
-    #: Requests a second of all entries; ``None`` once the backend has taken its word back.
+    #: Requests a second of all entries; ``None`` once the backend has lifted its limit.
     rate: float | None
-    #: Time on the clock at which some entry heard the latest word.
-    heard_at: int
-    #: Requests that may be sent now; parts of one grow on.
-    level: float
-    #: Time on the clock up to which it has grown.
-    grown_at: int
-
-    def grow(self, flow: _Flow, now: int) -> None:
-        """Let tokens come, and those perish that nobody has used."""
-        grown = self.level + flow.part * (now - self.grown_at) / SECOND
-        if flow.saved >= 1:
-            grown = min(grown, 1 + flow.part * _BURST_S)
-        elif grown > 1 + flow.saved:
-            grown = math.fmod(grown, 1.0)
-        self.level, self.grown_at = grown, now
-
-    def take(self, flow: _Flow) -> None:
+    #: Time on the clock at which some entry received the latest limit.
+    received_at: int
+    #: Requests that may be sent now, including the fraction accrued so far.
+    tokens: float
+    #: Time on the clock of the latest refill.
+    refilled_at: int
+
+    def refill(self, policy: _RefillPolicy, now: int) -> None:
+        """Add the tokens accrued since the last refill, and drop those that have expired."""
+        tokens = self.tokens + policy.refill_rate * (now - self.refilled_at) / SECOND
+        if policy.tokens_per_lifetime >= 1:
+            tokens = min(tokens, 1 + policy.refill_rate * _BURST_S)
+        elif tokens > 1 + policy.tokens_per_lifetime:
+            tokens = math.fmod(tokens, 1.0)
+        self.tokens, self.refilled_at = tokens, now
+
+    def consume(self, policy: _RefillPolicy) -> None:
         """Use one token."""
-        self.level = min(self.level, 1 + flow.part * _BURST_S) - 1
+        self.tokens = min(self.tokens, 1 + policy.refill_rate * _BURST_S) - 1
 
 
 @dataclass(slots=True)
 class BackendLimits:
-    """Not thread-safe, the roster guards it. Keys are those of ``BackendWords``."""
+    """Rate limits by backend run, with the keys of ``BackendNotices``.
+
+    Not thread-safe; guarded by the roster's lock.
+    """
 
     clock: Clock
     rng: random.Random
     #: Returns this entry's share in a service.
-    share: Callable[[str], Share] = lambda _service: ALONE
-    _buckets: dict[tuple[str, str], _Bucket] = field(default_factory=dict)
+    share: Callable[[str], Share] = lambda _service: WHOLE_SHARE
+    _buckets: dict[tuple[str, str], _TokenBucket] = field(default_factory=dict)
 
     @property
     def has_buckets(self) -> bool:
-        """Tell whether any backend has ever named a rate."""
+        """Tell whether any backend has ever stated a rate limit."""
         return bool(self._buckets)
 
     @property
-    def is_any(self) -> bool:
-        """Tell whether any backend limits what it takes."""
+    def has_any(self) -> bool:
+        """Tell whether any rate limit is in effect."""
         return any(bucket.rate is not None for bucket in self._buckets.values())
 
-    def took(self, key: tuple[str, str], word: RateWord) -> bool:
-        """Take a word, heard here or told by another entry; false if it changes nothing.
+    def update(self, key: tuple[str, str], limit: RateLimit) -> bool:
+        """Apply a limit received here or by another entry; return whether it changes anything.
 
-        Of several the one that was heard last holds.
+        The limit that was received from the backend last wins.
         """
         now = self.clock.now()
-        heard_at = now - word.age
-        rate = None if word.rate is None else max(_LEAST_RATE, word.rate)
+        received_at = now - limit.age
+        rate = None if limit.rate is None else max(_MIN_RATE, limit.rate)
         known = self._buckets.get(key)
         if known is None:
             if rate is not None:
-                # Entries hear it together: full buckets would make one burst of it.
-                self._buckets[key] = _Bucket(rate, heard_at, self.rng.random(), now)
-            if len(self._buckets) > _LIMIT:
+                # Entries learn of a limit together: full buckets would be spent in one burst.
+                self._buckets[key] = _TokenBucket(rate, received_at, self.rng.random(), now)
+            if len(self._buckets) > _MAX_RUNS:
                 del self._buckets[next(iter(self._buckets))]
             return rate is not None
-        if heard_at <= known.heard_at:
+        if received_at <= known.received_at:
             return False
-        is_news = rate != known.rate
-        known.rate, known.heard_at = rate, heard_at
-        return is_news
+        is_new = rate != known.rate
+        known.rate, known.received_at = rate, received_at
+        return is_new
 
-    def rate(self, key: tuple[str, str]) -> RateWord | None:
-        """Return the latest word on a backend's rate; ``None`` if it has never named one."""
+    def latest(self, key: tuple[str, str]) -> RateLimit | None:
+        """Return a backend's latest limit; ``None`` if it has never stated one."""
         bucket = self._buckets.get(key)
         if bucket is None:
             return None
-        return RateWord(bucket.rate, max(0, self.clock.now() - bucket.heard_at))
+        return RateLimit(bucket.rate, max(0, self.clock.now() - bucket.received_at))
 
     def wait(self, key: tuple[str, str], service: str) -> int:
         """Return the milliseconds until this entry may send a backend one more request."""
         bucket = self._buckets.get(key)
         if bucket is None or bucket.rate is None:
             return 0
-        flow = _Flow.of(bucket.rate, self.share(service))
-        bucket.grow(flow, self.clock.now())
-        missing = 1 - bucket.level
-        return math.ceil(missing / flow.part * SECOND) if missing > 0 else 0
+        policy = _RefillPolicy.of(bucket.rate, self.share(service))
+        bucket.refill(policy, self.clock.now())
+        missing = 1 - bucket.tokens
+        return math.ceil(missing / policy.refill_rate * SECOND) if missing > 0 else 0
 
-    def part(self, key: tuple[str, str], service: str) -> float:
-        """Return this entry's part of a backend's rate; 0 where it names none."""
+    def entry_rate(self, key: tuple[str, str], service: str) -> float:
+        """Return the requests a second that this entry may send a backend; 0 for no limit."""
         bucket = self._buckets.get(key)
         if bucket is None or bucket.rate is None:
             return 0.0
-        return _Flow.of(bucket.rate, self.share(service)).part
+        return _RefillPolicy.of(bucket.rate, self.share(service)).refill_rate
 
-    def sent(self, key: tuple[str, str], service: str) -> None:
-        """Take note that a request is sent there."""
+    def record_sent(self, key: tuple[str, str], service: str) -> None:
+        """Consume a token for a request to a backend."""
         bucket = self._buckets.get(key)
         if bucket is not None and bucket.rate is not None:
-            bucket.take(_Flow.of(bucket.rate, self.share(service)))
+            bucket.consume(_RefillPolicy.of(bucket.rate, self.share(service)))
 
-    def was_not_sent(self, key: tuple[str, str]) -> None:
-        """Give back what a request took that did not arrive after all."""
+    def refund(self, key: tuple[str, str]) -> None:
+        """Return the token of a request that did not reach the backend."""
         bucket = self._buckets.get(key)
         if bucket is not None:
-            bucket.level += 1
+            bucket.tokens += 1
--- a/src/canvasyoke/direct/_backend_news.py
+++ b/src/canvasyoke/direct/_backend_news.py
@@ -1,4 +1,4 @@
-"""Backends and requests to blame as entries tell each other of them."""
+"""Converts changes of backends and crash cases to and from messages between entries."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def to_crash_news(fingerprint: str, case: CrashCase) -> CrashNews:
-    """Return what to tell of a request under which backends have ended."""
+    """Return the message for a request that may have crashed backends."""
     return CrashNews(fingerprint, case.cleared, sorted(case.runs), case.is_blamed)
 
 
-def to_news(change: BackendChange) -> BackendNews:
-    """Return what to tell of a backend."""
+def to_backend_news(change: BackendChange) -> BackendNews:
+    """Return the message for a change of a backend."""
     endpoint = change.endpoint
     return BackendNews(
         id=endpoint.id,
@@ -31,7 +31,7 @@
 
 
 def to_endpoint(news: BackendNews) -> Endpoint:
-    """Return a backend as another entry has told of it."""
+    """Return the backend described by another entry's message."""
     return Endpoint(
         id=news.id,
         service=news.service,
--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -15,7 +15,7 @@
 from canvasyoke.coordination import RANKERS, Ejection, Ranker
 from canvasyoke.direct._backend_health import BackendHealth
 from canvasyoke.direct._backend_limits import BackendLimits
-from canvasyoke.direct._backend_words import BackendWords
+from canvasyoke.direct._backend_words import BackendNotices
 from canvasyoke.direct._domains import DomainReach
 from canvasyoke.direct._groups import RankGroups
 from canvasyoke.direct._home_share import deal_home_share
@@ -63,7 +63,7 @@
     _home: frozenset[str] = frozenset()
     _groups: RankGroups = field(init=False)
     _health: BackendHealth = field(init=False)
-    _words: BackendWords = field(init=False)
+    _words: BackendNotices = field(init=False)
     #: What speaks for and against a backend.
     _sources: Sources = field(init=False)
     _ranker: Ranker = field(init=False)
@@ -86,7 +86,7 @@
         self._known = KnownBackends(StoreReturn(self.clock))
         self._groups = RankGroups(self.clock)
         self._health = BackendHealth(self.clock)
-        self._words = BackendWords(self.clock, BackendLimits(self.clock, self.rng))
+        self._words = BackendNotices(self.clock, BackendLimits(self.clock, self.rng))
         self._sources = Sources(self.clock, self._words, self._health, self._groups, self._domains)
         self._ranker = RANKERS.get(_RANKER)(self.rng)
         self._confirmed_at = self.clock.now()
@@ -146,7 +146,7 @@
     def hear(self, news: BackendChange) -> bool:
         """Take what another entry learned from the store; false when it is old."""
         with self._lock:
-            is_new = self._known.hear(news)
+            is_new = self._known.apply_peer_change(news)
             if is_new:
                 self._follow([news])
             return is_new
@@ -159,7 +159,7 @@
     def knows_up_to(self, position: StorePosition) -> None:
         """Take note that all changes up to a position have come."""
         with self._lock:
-            self._known.knows_up_to(position)
+            self._known.advance_to(position)
 
     def confirmed(self, age: int = 0) -> None:
         """Take note that the list was in step with the store ``age`` milliseconds ago."""
--- a/src/canvasyoke/direct/_backend_standing.py
+++ b/src/canvasyoke/direct/_backend_standing.py
@@ -8,7 +8,7 @@
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_limits import Share
 from canvasyoke.direct._backend_streams import BackendStreams
-from canvasyoke.direct._backend_words import ToldWord, WordChange
+from canvasyoke.direct._backend_words import NoticeChange, SharedNotice
 from canvasyoke.direct._member import Member
 from canvasyoke.direct._pass_over import unavailability
 from canvasyoke.state import Endpoint, EndpointState
@@ -18,7 +18,7 @@
 class BackendStanding(BackendStreams):
     """Records of backends, with what they say of themselves."""
 
-    def took_notice(self, endpoint: Endpoint, notice: BackendNotice) -> WordChange:
+    def took_notice(self, endpoint: Endpoint, notice: BackendNotice) -> NoticeChange:
         """Take what a backend says of itself in an answer, whatever the answer is."""
         with self._lock:
             member = self._members.get(endpoint.run)
@@ -27,17 +27,17 @@
                 total = notice.load.running + notice.load.waiting
                 member.others = max(0, total - member.own)
                 member.reported_at = self.clock.now()
-            return self._words.took(endpoint, notice)
+            return self._words.apply(endpoint, notice)
 
-    def heard_word(self, told: ToldWord) -> bool:
+    def heard_word(self, told: SharedNotice) -> bool:
         """Take what a backend has said to another entry; false if it is no news."""
         with self._lock:
-            return self._words.heard(told)
+            return self._words.apply_shared(told)
 
-    def words_to_tell(self) -> list[ToldWord]:
+    def words_to_tell(self) -> list[SharedNotice]:
         """Return all words of listed backends that still hold."""
         with self._lock:
-            told = (self._words.to_tell(m.endpoint) for m in self._members.values())
+            told = (self._words.to_share(m.endpoint) for m in self._members.values())
             return [word for word in told if word is not None]
 
     def set_share(self, share: Callable[[str], Share]) -> None:
@@ -49,7 +49,7 @@
     def has_limits(self) -> bool:
         """Tell whether any backend names a rate that it takes."""
         with self._lock:
-            return self._words.limits.is_any
+            return self._words.limits.has_any
 
     def services(self) -> frozenset[str]:
         """Return the services of all backends known."""
@@ -67,7 +67,7 @@
             if member is None or member.endpoint.address != endpoint.address:
                 return False
             # The request has its part of a limit already.
-            return not self._is_leaving(member) and not self._words.backoff_left(endpoint)
+            return not self._is_leaving(member) and not self._words.remaining_backoff(endpoint)
 
     def wait_left(self, service: str) -> int:
         """Return the milliseconds until a backend of a service takes requests again.
@@ -86,7 +86,7 @@
         """Return the requests a second that this entry may send a service's limited backends."""
         with self._lock:
             return sum(
-                self._words.limit_part(member.endpoint)
+                self._words.limit_share(member.endpoint)
                 for member in self._members.values()
                 if member.endpoint.service == service and not self._is_leaving(member)
             )
@@ -111,19 +111,21 @@
     def backing_off(self) -> int:
         """Return how many backends want nothing from this entry now."""
         with self._lock:
-            return self._words.backing_off(member.endpoint for member in self._members.values())
+            return self._words.count_backing_off(
+                member.endpoint for member in self._members.values()
+            )
 
     @property
     def limited(self) -> int:
         """Return how many backends name a rate that they take."""
         with self._lock:
-            return sum(1 for m in self._members.values() if self._words.limit_part(m.endpoint) > 0)
+            return sum(1 for m in self._members.values() if self._words.limit_share(m.endpoint) > 0)
 
     @property
     def leaving(self) -> int:
         """Return how many backends have said themselves that they leave."""
         with self._lock:
-            return self._words.leaving(member.endpoint for member in self._members.values())
+            return self._words.count_leaving(member.endpoint for member in self._members.values())
 
     def _takes_requests(self, member: Member) -> bool:
         return not self._is_leaving(member) and not unavailability(self._sources, member)
--- a/src/canvasyoke/direct/_backend_streams.py
+++ b/src/canvasyoke/direct/_backend_streams.py
@@ -24,7 +24,7 @@
                 for m in self._members.values()
                 if m.endpoint.service in services
                 and not self._groups.is_learned(m.endpoint.run)
-                and not self._words.backoff_left(m.endpoint)
+                and not self._words.remaining_backoff(m.endpoint)
             ]
 
     def learn_group(self, run: str, group: str) -> bool:
@@ -72,7 +72,7 @@
                 for m in self._members.values()
                 if m.endpoint.service == service
                 and m.endpoint.domain == self.domain
-                and not self._words.backoff_left(m.endpoint)
+                and not self._words.remaining_backoff(m.endpoint)
             ]
             return [
                 e
--- a/src/canvasyoke/direct/_backend_words.py
+++ b/src/canvasyoke/direct/_backend_words.py
@@ -1,8 +1,8 @@
-"""What backends have said of themselves in their answers, for as long as it holds.
+"""The notices that backends have sent in their answers, kept while they are in effect.
 
-That an entry is to back off binds the one that was asked, until the time that was named. That a run
-leaves holds until it has ended. Both are kept by run and address, not with the backend's place
-in the list: an entry of the store lapses while the store is away, and comes back.
+A backoff applies to the entry that was asked, until the time given. A notice of leaving applies
+until the run has ended. Both are kept by run and address, apart from the list of backends:
+store entries expire during an outage of the store and are written again after it.
 """
 
 from __future__ import annotations
@@ -13,177 +13,176 @@
 
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.backend import BackendNotice
-from canvasyoke.direct._backend_limits import BackendLimits, RateWord
+from canvasyoke.direct._backend_limits import BackendLimits, RateLimit
 from canvasyoke.state import Endpoint
 
-#: Milliseconds of backoff that one answer can ask for. A backend that named a time without an
-#: end by mistake is asked again after it.
-LONGEST_BACKOFF: Final = 600 * SECOND
-#: Milliseconds by which the end of a backoff must be later to be news: refusals that were under
-#: way together name ends that differ by no more.
-_NEWS_STEP: Final = 500
-#: Runs of which words are kept; the oldest are dropped first.
-_LIMIT: Final = 10_000
-
-#: A run of a backend, and its address: a run that does not tell its start is another one at
-#: another address.
+#: Longest backoff in milliseconds that one answer can request. Bounds the effect of a backend
+#: that requests an excessive time by mistake.
+MAX_BACKOFF: Final = 600 * SECOND
+#: Milliseconds by which a backoff must be extended to be reported. Concurrent refusals request
+#: end times that differ by less.
+_MIN_EXTENSION: Final = 500
+#: Runs for which notices are kept; the oldest are dropped first.
+_MAX_RUNS: Final = 10_000
+
+#: A run of a backend and its address. A run that reports no start time is identified by its
+#: address.
 _Key: TypeAlias = tuple[str, str]
 
 
 @dataclass(frozen=True, slots=True)
-class WordChange:
+class NoticeChange:
     """What an answer's notice has changed."""
 
-    #: Milliseconds of backoff from now on; 0 where that is no news.
+    #: Milliseconds of backoff from now on; 0 if it was not extended.
     backoff: int = 0
-    #: Whether the backend was not known to leave.
+    #: Whether the backend was not known to be leaving before.
     leaves: bool = False
-    #: Its word on the rate that it takes, where that is another than before.
-    limit: RateWord | None = None
+    #: The backend's rate limit if it has changed.
+    limit: RateLimit | None = None
 
     @property
-    def is_any(self) -> bool:
+    def has_any(self) -> bool:
         """Tell whether anything has changed."""
         return bool(self.backoff) or self.leaves or self.limit is not None
 
 
-_NO_CHANGE: Final = WordChange()
+_NO_CHANGE: Final = NoticeChange()
 
 
 @dataclass(frozen=True, slots=True)
-class ToldWord:
-    """A backend's word as entries tell it each other."""
+class SharedNotice:
+    """A backend's notice as entries exchange it."""
 
     #: Run of the backend, and its address.
     run: str
     address: str
-    #: Milliseconds for which it wants nothing from one of the entries.
+    #: Milliseconds of backoff that were requested from one of the entries.
     backoff: int = 0
     is_leaving: bool = False
-    #: Its word on the rate that it takes; ``None`` if it has never named one.
-    limit: RateWord | None = None
+    #: The backend's rate limit; ``None`` if it has never sent one.
+    limit: RateLimit | None = None
 
 
 @dataclass(slots=True)
-class _Word:
-    #: Time on the clock at which the latest of all backoffs ends.
+class _NoticeState:
+    #: Time on the clock at which the last backoff requested from this entry ends.
     backoff_until: int = 0
     #: The same for other entries.
-    backoff_elsewhere_until: int = 0
+    peer_backoff_until: int = 0
     is_leaving: bool = False
 
 
 @dataclass(slots=True)
-class BackendWords:
-    """Not thread-safe, the roster guards it."""
+class BackendNotices:
+    """Notices by backend run. Not thread-safe; guarded by the roster's lock."""
 
     clock: Clock
-    #: Rates that backends take.
     limits: BackendLimits
-    _words: dict[_Key, _Word] = field(default_factory=dict)
+    _states: dict[_Key, _NoticeState] = field(default_factory=dict)
 
     @property
-    def is_any(self) -> bool:
-        """Tell whether any word is kept; it spares each choice to look where there is none."""
-        return bool(self._words) or self.limits.has_buckets
+    def has_any(self) -> bool:
+        """Tell whether any notice is kept, so that callers can skip the lookups if not."""
+        return bool(self._states) or self.limits.has_buckets
 
-    def took(self, endpoint: Endpoint, notice: BackendNotice) -> WordChange:
-        """Take the notice in an answer of a backend, and return what it changes.
+    def apply(self, endpoint: Endpoint, notice: BackendNotice) -> NoticeChange:
+        """Apply the notice in an answer of a backend, and return what it changes.
 
-        Of several backoffs the latest end holds: answers of before pass later ones on the way.
+        The latest end of all backoffs wins, since answers can arrive out of order.
         """
-        limit = self._took_limit(endpoint, notice)
+        limit = self._apply_limit(endpoint, notice)
         if not notice.backoff and not notice.is_leaving:
-            return WordChange(limit=limit) if limit is not None else _NO_CHANGE
+            return NoticeChange(limit=limit) if limit is not None else _NO_CHANGE
         now = self.clock.now()
-        word = self._find(_key(endpoint))
-        backoff = min(notice.backoff, LONGEST_BACKOFF)
-        change = WordChange(
-            backoff=backoff if now + backoff > word.backoff_until + _NEWS_STEP else 0,
-            leaves=notice.is_leaving and not word.is_leaving,
+        state = self._find(_key(endpoint))
+        backoff = min(notice.backoff, MAX_BACKOFF)
+        change = NoticeChange(
+            backoff=backoff if now + backoff > state.backoff_until + _MIN_EXTENSION else 0,
+            leaves=notice.is_leaving and not state.is_leaving,
             limit=limit,
         )
-        word.backoff_until = max(word.backoff_until, now + backoff)
-        word.is_leaving = word.is_leaving or notice.is_leaving
+        state.backoff_until = max(state.backoff_until, now + backoff)
+        state.is_leaving = state.is_leaving or notice.is_leaving
         return change
 
-    def _took_limit(self, endpoint: Endpoint, notice: BackendNotice) -> RateWord | None:
-        """Take what an answer says, or no longer says, of a limit; return it if it is news."""
+    def _apply_limit(self, endpoint: Endpoint, notice: BackendNotice) -> RateLimit | None:
+        """Set or clear the rate limit as an answer states; return it if it has changed."""
         if not notice.tells_limit:
             return None
-        word = RateWord(notice.rate_limit)
-        return word if self.limits.took(_key(endpoint), word) else None
+        limit = RateLimit(notice.rate_limit)
+        return limit if self.limits.update(_key(endpoint), limit) else None
 
     def limit_wait(self, endpoint: Endpoint) -> int:
-        """Return the milliseconds until this entry's part of a limit has room again."""
+        """Return the milliseconds until this entry may send a request under the rate limit."""
         return self.limits.wait(_key(endpoint), endpoint.service)
 
-    def limit_part(self, endpoint: Endpoint) -> float:
-        """Return this entry's part of the rate that a backend takes; 0 where it names none."""
-        return self.limits.part(_key(endpoint), endpoint.service)
-
-    def sent(self, endpoint: Endpoint) -> None:
-        """Take note that a backend was chosen for a request."""
-        self.limits.sent(_key(endpoint), endpoint.service)
-
-    def was_not_sent(self, endpoint: Endpoint) -> None:
-        """Take note that the request did not get there."""
-        self.limits.was_not_sent(_key(endpoint))
-
-    def backoff_left(self, endpoint: Endpoint) -> int:
-        """Return the milliseconds for which a backend wants nothing from this entry."""
-        word = self._words.get(_key(endpoint))
-        return max(0, word.backoff_until - self.clock.now()) if word is not None else 0
-
-    def heard(self, told: ToldWord) -> bool:
-        """Take what another entry has heard from a backend; false if it is no news."""
-        key = (told.run, told.address)
-        is_limit_news = told.limit is not None and self.limits.took(key, told.limit)
-        if not told.backoff and not told.is_leaving:
-            return is_limit_news
+    def limit_share(self, endpoint: Endpoint) -> float:
+        """Return this entry's share of a backend's rate limit; 0 if it has none."""
+        return self.limits.entry_rate(_key(endpoint), endpoint.service)
+
+    def record_sent(self, endpoint: Endpoint) -> None:
+        """Count a request for which the backend was chosen against its rate limit."""
+        self.limits.record_sent(_key(endpoint), endpoint.service)
+
+    def refund(self, endpoint: Endpoint) -> None:
+        """Undo ``record_sent`` for a request that did not reach the backend."""
+        self.limits.refund(_key(endpoint))
+
+    def remaining_backoff(self, endpoint: Endpoint) -> int:
+        """Return the milliseconds for which this entry must not send to a backend."""
+        state = self._states.get(_key(endpoint))
+        return max(0, state.backoff_until - self.clock.now()) if state is not None else 0
+
+    def apply_shared(self, notice: SharedNotice) -> bool:
+        """Apply a notice that another entry has received; return whether it changes anything."""
+        key = (notice.run, notice.address)
+        is_new_limit = notice.limit is not None and self.limits.update(key, notice.limit)
+        if not notice.backoff and not notice.is_leaving:
+            return is_new_limit
         now = self.clock.now()
-        word = self._find(key)
-        until = now + min(told.backoff, LONGEST_BACKOFF)
-        known = max(now, word.backoff_until, word.backoff_elsewhere_until)
-        is_news = until > known + _NEWS_STEP or (told.is_leaving and not word.is_leaving)
-        word.backoff_elsewhere_until = max(word.backoff_elsewhere_until, until)
-        word.is_leaving = word.is_leaving or told.is_leaving
-        return is_news or is_limit_news
-
-    def to_tell(self, endpoint: Endpoint) -> ToldWord | None:
-        """Return what still holds of a backend's word; ``None`` for nothing."""
+        state = self._find(key)
+        until = now + min(notice.backoff, MAX_BACKOFF)
+        known = max(now, state.backoff_until, state.peer_backoff_until)
+        is_new = until > known + _MIN_EXTENSION or (notice.is_leaving and not state.is_leaving)
+        state.peer_backoff_until = max(state.peer_backoff_until, until)
+        state.is_leaving = state.is_leaving or notice.is_leaving
+        return is_new or is_new_limit
+
+    def to_share(self, endpoint: Endpoint) -> SharedNotice | None:
+        """Return what is still in effect for a backend; ``None`` for nothing."""
         key = _key(endpoint)
-        word = self._words.get(key, _Word())
-        limit = self.limits.rate(key)
-        until = max(word.backoff_until, word.backoff_elsewhere_until)
+        state = self._states.get(key, _NoticeState())
+        limit = self.limits.latest(key)
+        until = max(state.backoff_until, state.peer_backoff_until)
         backoff = max(0, until - self.clock.now())
-        if not backoff and not word.is_leaving and limit is None:
+        if not backoff and not state.is_leaving and limit is None:
             return None
-        return ToldWord(endpoint.run, endpoint.address, backoff, word.is_leaving, limit)
+        return SharedNotice(endpoint.run, endpoint.address, backoff, state.is_leaving, limit)
 
-    def backs_off_elsewhere(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend wants nothing from another entry."""
-        word = self._words.get(_key(endpoint)) if self._words else None
-        return word is not None and self.clock.now() < word.backoff_elsewhere_until
+    def has_peer_backoff(self, endpoint: Endpoint) -> bool:
+        """Tell whether a backend has asked another entry to back off."""
+        state = self._states.get(_key(endpoint)) if self._states else None
+        return state is not None and self.clock.now() < state.peer_backoff_until
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
-        """Tell whether a run has said that it is about to end."""
-        word = self._words.get(_key(endpoint)) if self._words else None
-        return word is not None and word.is_leaving
+        """Tell whether a run has announced that it is about to end."""
+        state = self._states.get(_key(endpoint)) if self._states else None
+        return state is not None and state.is_leaving
 
-    def backing_off(self, endpoints: Iterable[Endpoint]) -> int:
-        """Return how many of ``endpoints`` want nothing from this entry."""
-        return sum(1 for endpoint in endpoints if self.backoff_left(endpoint))
+    def count_backing_off(self, endpoints: Iterable[Endpoint]) -> int:
+        """Return how many of ``endpoints`` have asked this entry to back off."""
+        return sum(1 for endpoint in endpoints if self.remaining_backoff(endpoint))
 
-    def leaving(self, endpoints: Iterable[Endpoint]) -> int:
-        """Return how many of ``endpoints`` have said that they leave."""
+    def count_leaving(self, endpoints: Iterable[Endpoint]) -> int:
+        """Return how many of ``endpoints`` have announced that they are leaving."""
         return sum(1 for endpoint in endpoints if self.is_leaving(endpoint))
 
-    def _find(self, key: _Key) -> _Word:
-        word = self._words.setdefault(key, _Word())
-        while len(self._words) > _LIMIT:
-            del self._words[next(iter(self._words))]
-        return word
+    def _find(self, key: _Key) -> _NoticeState:
+        state = self._states.setdefault(key, _NoticeState())
+        while len(self._states) > _MAX_RUNS:
+            del self._states[next(iter(self._states))]
+        return state
 
 
 def _key(endpoint: Endpoint) -> _Key:
--- a/src/canvasyoke/direct/_demand_shares.py
+++ b/src/canvasyoke/direct/_demand_shares.py
@@ -1,8 +1,8 @@
-"""This entry's part of a rate that a backend takes from all entries together.
+"""This entry's share of a rate limit that applies to all entries together.
 
-Parts follow what callers ask of each entry, as the entries tell each other while a limit is in
-force; a tenth is dealt evenly, so that an entry whose first callers come now has a part. Where
-not all entries hear each other the parts are equal.
+Shares are proportional to the demand at each entry, which entries report to each other while a
+limit is in effect. A tenth is divided evenly, so that an entry whose first callers arrive has a
+share. Where not all entries hear each other the shares are equal.
 """
 
 from __future__ import annotations
@@ -15,61 +15,61 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.direct._backend_limits import Share
 
-#: Part of a rate that is dealt evenly.
-_EVEN: Final = 0.1
-#: Milliseconds after which what another entry told of its callers is left out.
-_STALE: Final = 3 * SECOND
+#: Fraction of a rate that is divided evenly.
+_EVEN_FRACTION: Final = 0.1
+#: Milliseconds after which another entry's reported demand is ignored.
+_MAX_REPORT_AGE: Final = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _DemandReport:
     demands: Mapping[str, float]
     #: Time on this entry's clock.
     at: int
 
 
 class DemandShares:
-    """Thread-safe."""
+    """Computes this entry's shares of rate limits; thread-safe."""
 
     def __init__(self, own_demand: Callable[[str], float], clock: Clock) -> None:
-        #: Returns the requests a second that callers ask of a service here.
+        #: Returns the requests a second that callers make to a service here.
         self._own_demand = own_demand
         self._clock = clock
         self._lock = threading.Lock()
-        self._told: dict[str, _Told] = {}
-        #: Entries that choose among the same backends, this one included, and whether each
-        #: hears all others.
+        self._reports: dict[str, _DemandReport] = {}
+        #: Number of entries that choose among the same backends, this one included, and
+        #: whether each hears all others.
         self._entries = 1
         self._hears_all = True
 
     def set_fleet(self, entries: int, hears_all: bool) -> None:
-        """Take note of who takes part."""
+        """Set the number of entries and whether each hears all others."""
         with self._lock:
             self._entries, self._hears_all = max(1, entries), hears_all
 
-    def told(self, entry: str, demands: Mapping[str, float]) -> None:
-        """Take what another entry's callers ask of services with a limit."""
+    def report_demand(self, entry: str, demands: Mapping[str, float]) -> None:
+        """Store another entry's demand for services with a rate limit."""
         with self._lock:
-            self._told[entry] = _Told(demands, self._clock.now())
+            self._reports[entry] = _DemandReport(demands, self._clock.now())
 
     def share(self, service: str) -> Share:
-        """Return the part of a service's limits that falls to this entry."""
+        """Return this entry's share of a service's rate limits."""
         with self._lock:
             entries = self._entries
-        return Share(self._part(service), entries)
+        return Share(self._fraction(service), entries)
 
-    def _part(self, service: str) -> float:
+    def _fraction(self, service: str) -> float:
         own = self._own_demand(service)
         with self._lock:
             equal = 1 / self._entries
             if not self._hears_all:
                 return equal
-            fresh = self._clock.now() - _STALE
-            self._told = {name: t for name, t in self._told.items() if t.at >= fresh}
-            told = [t.demands.get(service, 0.0) for t in self._told.values()]
-            total = own + sum(told)
+            oldest = self._clock.now() - _MAX_REPORT_AGE
+            self._reports = {name: r for name, r in self._reports.items() if r.at >= oldest}
+            reported = [r.demands.get(service, 0.0) for r in self._reports.values()]
+            total = own + sum(reported)
             if not total:
                 return equal
-            # The rest of the fleet has callers too, who were not heard of.
-            heard = min(1.0, (len(told) + 1) / self._entries)
-            return _EVEN * equal + (1 - _EVEN) * heard * own / total
+            # Entries that have not reported may have callers too.
+            covered = min(1.0, (len(reported) + 1) / self._entries)
+            return _EVEN_FRACTION * equal + (1 - _EVEN_FRACTION) * covered * own / total
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Keeps an entry's list of backends up to date from the store."""
+"""Keeps an entry's list of backends in sync with the store."""
 
 from __future__ import annotations
 
@@ -27,48 +27,48 @@
 )
 
 _log = part_logger("store")
-#: Backends that must be missing from a list at once, and their part of all known, for
-#: their entries to have lapsed rather than the backends to have left.
-_MANY: Final = 3
-_MANY_PART: Final = 0.25
+#: Backends missing from one list, as a number and as a fraction of all known, from which on
+#: their store entries are assumed to have expired rather than the backends to have left.
+_MASS_EXPIRY_COUNT: Final = 3
+_MASS_EXPIRY_FRACTION: Final = 0.25
 
 
 class EndpointFollower(StoreFollower):
     """Follows the list of backends.
 
-    While the store is away the entries of living backends lapse. A removal seen within
-    the time that they have to come back is held, and carried out if they have not.
+    During an outage of the store the entries of running backends expire. A removal seen shortly
+    after an outage is deferred, and applied unless the entry is written again in time.
     """
 
     def __init__(
         self,
         store: FleetStore,
         roster: Roster,
-        on_news: Callable[[BackendChange], None],
+        on_change: Callable[[BackendChange], None],
         is_watching: Callable[[], bool],
         clock: Clock,
         rng: random.Random,
     ) -> None:
         super().__init__("backends", clock, rng)
-        self._on_news = on_news
+        self._on_change = on_change
         self._is_watching = is_watching
         self._store = store
         self._roster = roster
-        #: Backends whose removal is held, with the time at which it is carried out.
-        self._held: dict[str, int] = {}
-        #: Entries that name no backend, with what is wrong with them.
+        #: Deferred removals by backend, with the time on the clock at which to apply them.
+        self._deferred: dict[str, int] = {}
+        #: Store entries that cannot be read as a backend, with the cause.
         self._unreadable: dict[str, str] = {}
         #: Newest position in the store's history seen.
         self._position: StorePosition = 0
 
     @property
     def unreadable(self) -> int:
-        """Return the number of entries in the store that name no backend."""
+        """Return the number of store entries that cannot be read as a backend."""
         return len(self._unreadable)
 
-    def _look(self, position: StorePosition) -> EndpointList | EndpointsSeen:
+    def _fetch(self, position: StorePosition) -> EndpointList | EndpointsSeen:
         if position:
-            return self._store.watch_endpoints(position, self._wait_time())
+            return self._store.watch_endpoints(position, self._watch_timeout())
         return self._store.endpoints(self._contact.patience)
 
     def _run(self) -> None:
@@ -76,7 +76,7 @@
         while not self._stop.is_set():
             if self._roster.is_known and not self._is_watching():
                 position = 0
-                self._held.clear()
+                self._deferred.clear()
                 self._unreadable = {}
                 self._contact.left_to_others()
                 self._pause(IDLE)
@@ -84,18 +84,18 @@
             self._contact.resumes()
             if self._roster.wants_list and self._roster.doubted:
                 position = 0
-            match self._look(position):
+            match self._fetch(position):
                 case EndpointList() as seen:
-                    self._heard()
+                    self._mark_in_sync()
                     self._position = position = seen.position
-                    self._take_list(seen)
+                    self._apply_list(seen)
                 case EndpointChanges() as seen:
-                    self._heard()
+                    self._mark_in_sync()
                     self._position = position = seen.position
-                    self._take_changes(seen)
+                    self._apply_changes(seen)
                     self._pause(PAUSE_AFTER_NEWS)
                 case NothingNew():
-                    self._heard()
+                    self._mark_in_sync()
                     self._pause(PAUSE)
                 case HistoryGone():
                     _log.info(
@@ -107,49 +107,49 @@
                 case seen:
                     position = 0
                     self._contact.failed(seen)
-            self._carry_out_held()
+            self._apply_deferred()
 
-    def _heard(self) -> None:
-        """Take note of a usable answer: the list is in step with the store."""
+    def _mark_in_sync(self) -> None:
+        """Record a usable answer: the list is in sync with the store."""
         self._contact.answered()
         self._roster.confirmed()
 
-    def _wait_time(self) -> int:
-        """Return how long the next watch may wait: no longer than the next held removal."""
-        if not self._held:
+    def _watch_timeout(self) -> int:
+        """Return the timeout of the next watch, which ends when the next removal is due."""
+        if not self._deferred:
             return WATCH
-        return max(1, min(WATCH, min(self._held.values()) - self._clock.now()))
+        return max(1, min(WATCH, min(self._deferred.values()) - self._clock.now()))
 
-    def _settling_until(self) -> int:
-        """Return the time on the clock until which a missing entry may come back."""
+    def _grace_period_end(self) -> int:
+        """Return the time on the clock until which an expired entry may be written again."""
         regained = self._contact.regained_at
         return regained + RETURN_TIME if regained else 0
 
-    def _take_list(self, seen: EndpointList) -> None:
+    def _apply_list(self, seen: EndpointList) -> None:
         listed = frozenset(endpoint.id for endpoint in seen.endpoints)
         unreadable = {entry.id: entry.fault for entry in seen.unreadable}
         missing = self._roster.ids() - listed
-        until = self._settling_until()
+        until = self._grace_period_end()
         if self._roster.is_known and era_of(seen.position) > self._roster.era:
-            # Backends that the copy lacks live as a rule, and write themselves again.
+            # Backends that the restored copy lacks are usually running, and will register again.
             until = max(until, self._clock.now() + RETURN_TIME)
-        if len(missing) >= max(_MANY, _MANY_PART * len(self._roster.ids())):
+        if len(missing) >= max(_MASS_EXPIRY_COUNT, _MASS_EXPIRY_FRACTION * len(self._roster.ids())):
             until = max(until, self._clock.now() + RETURN_TIME)
         keep = missing - unreadable.keys() if self._clock.now() < until else frozenset()
         for endpoint_id in keep:
-            self._hold(endpoint_id, until)
-        for endpoint_id in listed & self._held.keys():
-            del self._held[endpoint_id]
-        self._note_unreadable(unreadable)
+            self._defer_removal(endpoint_id, until)
+        for endpoint_id in listed & self._deferred.keys():
+            del self._deferred[endpoint_id]
+        self._update_unreadable(unreadable)
         is_first = not self._roster.is_known
         for change in self._roster.merge_from_store(seen.endpoints, seen.position, keep):
             if is_first:
                 continue
-            self._on_news(change)
+            self._on_change(change)
             if change.gone:
                 _log.info("backend gone", backend=change.endpoint.id, source="list")
             else:
-                _log_changed(change.endpoint, source="list")
+                _log_change(change.endpoint, source="list")
         _log.info(
             "backends listed",
             count=len(listed),
@@ -158,65 +158,65 @@
             revision=format_position(seen.position),
         )
 
-    def _take_changes(self, seen: EndpointChanges) -> None:
+    def _apply_changes(self, seen: EndpointChanges) -> None:
         for change in seen.changes:
             match change:
                 case Endpoint():
-                    self._take_entry(change)
+                    self._apply_endpoint(change)
                 case EndpointGone(fault=""):
-                    self._take_removal(change)
+                    self._apply_removal(change)
                 case EndpointGone():
-                    self._note_unreadable({**self._unreadable, change.id: change.fault})
-                    self._forget(change)
+                    self._update_unreadable({**self._unreadable, change.id: change.fault})
+                    self._remove(change)
         self._roster.knows_up_to(seen.position)
 
-    def _take_entry(self, endpoint: Endpoint) -> None:
-        self._held.pop(endpoint.id, None)
+    def _apply_endpoint(self, endpoint: Endpoint) -> None:
+        self._deferred.pop(endpoint.id, None)
         self._unreadable.pop(endpoint.id, None)
         for change in self._roster.put(endpoint):
-            self._on_news(change)
+            self._on_change(change)
             if not change.gone:
-                _log_changed(change.endpoint, source="watch")
+                _log_change(change.endpoint, source="watch")
 
-    def _take_removal(self, gone: EndpointGone) -> None:
+    def _apply_removal(self, gone: EndpointGone) -> None:
         self._unreadable.pop(gone.id, None)
-        until = self._settling_until()
+        until = self._grace_period_end()
         if self._clock.now() < until:
-            self._hold(gone.id, until)
+            self._defer_removal(gone.id, until)
         else:
-            self._forget(gone)
+            self._remove(gone)
 
-    def _forget(self, gone: EndpointGone) -> None:
-        self._held.pop(gone.id, None)
+    def _remove(self, gone: EndpointGone) -> None:
+        self._deferred.pop(gone.id, None)
         self._roster.remove(gone.id, gone.position)
-        self._on_news(BackendChange.removal(gone.id, gone.position))
+        self._on_change(BackendChange.removal(gone.id, gone.position))
         _log.info("backend gone", backend=gone.id, revision=format_position(gone.position))
 
-    def _note_unreadable(self, now: dict[str, str]) -> None:
-        """Take note of the entries that cannot be read now; each is logged once."""
-        for name, fault in now.items():
+    def _update_unreadable(self, faults: dict[str, str]) -> None:
+        """Replace the set of unreadable entries, and log those that are new."""
+        for name, fault in faults.items():
             if self._unreadable.get(name) != fault:
                 _log.warning("entry names no backend", entry=name, cause=fault)
-        self._unreadable = now
+        self._unreadable = faults
 
-    def _hold(self, endpoint_id: str, until: int) -> None:
-        if endpoint_id not in self._held:
-            self._held[endpoint_id] = until
+    def _defer_removal(self, endpoint_id: str, until: int) -> None:
+        if endpoint_id not in self._deferred:
+            self._deferred[endpoint_id] = until
             _log.info("removal held while entries come back", backend=endpoint_id)
 
-    def _carry_out_held(self) -> None:
+    def _apply_deferred(self) -> None:
         now = self._clock.now()
         if self._contact.is_lost:
             return
-        for endpoint_id, until in list(self._held.items()):
+        for endpoint_id, until in list(self._deferred.items()):
             if now >= until:
-                del self._held[endpoint_id]
+                del self._deferred[endpoint_id]
                 for change in self._roster.remove(endpoint_id, self._position):
-                    self._on_news(change)
+                    self._on_change(change)
                 _log.info("backend gone", backend=endpoint_id, source="did not come back")
 
 
-def _log_changed(endpoint: Endpoint, source: str) -> None:
+def _log_change(endpoint: Endpoint, source: str) -> None:
     _log.info(
         "backend changed",
         backend=endpoint.run,
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -39,7 +39,7 @@
 from canvasyoke.direct._refusals import LEAST_TIME, Refusals
 from canvasyoke.direct._retries import Retries
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import WordKeeper
+from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint
 from canvasyoke.transport import ExchangeSlot
@@ -69,7 +69,7 @@
         budget: FleetRetryBudget,
         breaks: BreakExaminer,
         quarantine: Quarantine,
-        words: WordKeeper,
+        words: NoticeHandler,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -152,7 +152,7 @@
         if call.gone():
             call.slot.shut()
         sent = self._port.send(endpoint, self._outbound(call), _CONNECT_TIMEOUT, call.slot)
-        self._words.took(endpoint, sent.notice)
+        self._words.handle(endpoint, sent.notice)
         self._note_reach(call, endpoint, sent)
         if isinstance(sent, NotRun) and not sent.has_arrived:
             self._roster.was_not_sent(endpoint.run)
--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -1,8 +1,8 @@
-"""Which backends there are, by what the store and other entries say of them.
+"""The known backends, merged from the store and from other entries.
 
-Word comes from several sides and out of order: positions in the store's history tell what
-is new. In the seconds after the store is back from a copy they do not tell all; what then
-counts is in ``_store_return``.
+Updates come from several sources and out of order; positions in the store's history tell which
+are newer. Positions are not sufficient in the seconds after the store was restored from a copy;
+``_store_return`` has the rules for that time.
 """
 
 from __future__ import annotations
@@ -14,43 +14,45 @@
 from canvasyoke.direct._store_return import StoreReturn
 from canvasyoke.state import Endpoint, EndpointState, StorePosition, era_of
 
-#: Backends that are remembered after they have gone, so that old news of them is known
-#: as such.
-_GONE_LIMIT: Final = 10_000
+#: Removed backends that are remembered, so that stale updates of them are recognized.
+_MAX_REMOVED: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class BackendChange:
-    """What the store said of a backend."""
+    """A change of a backend as read from the store."""
 
     endpoint: Endpoint
     #: Whether its entry was removed.
     gone: bool
-    #: Position in the store's history at which this came to be.
+    #: Position of the change in the store's history.
     position: StorePosition
-    #: Whether the store's watch had left it out, so that it was found in a list, or the store
-    #: is back from a copy that lacks it.
+    #: Whether the store's watch missed it, so that it was found in a list, or the store was
+    #: restored from a copy that lacks it.
     was_lost: bool = False
 
     @classmethod
     def removal(cls, endpoint_id: str, position: StorePosition) -> BackendChange:
-        """Return the removal of a backend of which nothing else has to be known."""
+        """Return the removal of a backend of which only the id is known."""
         gone = Endpoint(endpoint_id, "", "", "", 1, EndpointState.LEAVING, position)
         return cls(gone, True, position)
 
 
 @dataclass(slots=True)
 class KnownBackends:
-    """Not thread-safe, the roster guards it. All calls return what they changed."""
+    """The known backends by id. Not thread-safe; guarded by the roster's lock.
+
+    Methods that change backends return the changes.
+    """
 
     store_return: StoreReturn
     #: Whether a list has been read.
     is_known: bool = False
-    #: Position up to which all changes are known; 0 before any list.
+    #: Position up to which all changes are known; 0 before the first list.
     position: StorePosition = 0
     _endpoints: dict[str, Endpoint] = field(default_factory=dict)
-    #: Backends that are gone, with the position of their removal.
-    _gone: dict[str, StorePosition] = field(default_factory=dict)
+    #: Removed backends, with the position of their removal.
+    _removed: dict[str, StorePosition] = field(default_factory=dict)
 
     def merge(
         self,
@@ -58,11 +60,11 @@
         position: StorePosition,
         keep: frozenset[str] = frozenset(),
     ) -> list[BackendChange]:
-        """Take a whole list of a position.
+        """Apply a complete list as of a position.
 
-        Those in ``keep`` stay although it lacks them, and so does what is newer.
+        Backends that it lacks are removed, except those in ``keep`` and those that are newer.
         """
-        self._heard_of(position)
+        self._observe_position(position)
         listed = {endpoint.id: endpoint for endpoint in endpoints}
         changes = [
             BackendChange(endpoint, True, position)
@@ -70,12 +72,12 @@
             if endpoint.id not in listed
             and endpoint.id not in keep
             and endpoint.position <= position
-            and not self._may_be_unwritten(endpoint)
+            and not self._may_be_rewritten(endpoint)
         ]
         for change in changes:
-            self._forget(change.endpoint.id, position)
+            self._discard(change.endpoint.id, position)
         for endpoint in listed.values():
-            is_outdated = position < self.position and self._is_old(endpoint)
+            is_outdated = position < self.position and self._is_stale(endpoint)
             if not is_outdated:
                 changes += self.put(endpoint)
         self.position = max(self.position, position)
@@ -89,199 +91,202 @@
         position: StorePosition,
         keep: frozenset[str] = frozenset(),
     ) -> list[BackendChange]:
-        """As ``merge``, for a list that the store has just given.
+        """Apply a complete list that was just read from the store, as ``merge`` does.
 
-        The store can lose events. What it lists is then older than what is known here and
-        at other entries, and yet right; it is taken as of the list's own position, so that
-        it counts as new everywhere.
+        The store can drop events, so a listed backend may be older than the known position
+        although it was never reported. Such a backend gets the list's position, so that all
+        entries accept it as new.
         """
-        self._heard_of(position)
+        self._observe_position(position)
         listed = list(endpoints)
-        lost = {endpoint.id for endpoint in listed if self._was_lost(endpoint)}
-        as_of_now = [replace(e, position=position) if e.id in lost else e for e in listed]
-        changes = self.merge(as_of_now, position, keep)
+        missed = {endpoint.id for endpoint in listed if self._was_missed(endpoint)}
+        as_of_list = [replace(e, position=position) if e.id in missed else e for e in listed]
+        changes = self.merge(as_of_list, position, keep)
         return [
-            replace(change, was_lost=change.was_lost or change.endpoint.id in lost)
+            replace(change, was_lost=change.was_lost or change.endpoint.id in missed)
             for change in changes
         ]
 
     def put(self, endpoint: Endpoint) -> list[BackendChange]:
         """Add or change one backend."""
-        self._heard_of(endpoint.position)
+        self._observe_position(endpoint.position)
         known = self._endpoints.get(endpoint.id)
-        if endpoint.position < self._gone.get(endpoint.id, 0):
+        if endpoint.position < self._removed.get(endpoint.id, 0):
             return []
-        better = self._known_better(endpoint)
-        if better is None and endpoint.state is EndpointState.LEAVING:
-            self.store_return.doubted.discard(endpoint.id)  # the store knows it again
-        if better is not None:
+        override = self._override_for(endpoint)
+        if override is None and endpoint.state is EndpointState.LEAVING:
+            self.store_return.doubted.discard(endpoint.id)  # the store agrees again
+        if override is not None:
             self.store_return.doubted.add(endpoint.id)
-            if better.gone:
-                self._forget(endpoint.id, better.position)
-                return [better]
-            endpoint = better.endpoint
-        if known is not None and (endpoint == known or self._loses(endpoint, known)):
+            if override.gone:
+                self._discard(endpoint.id, override.position)
+                return [override]
+            endpoint = override.endpoint
+        if known is not None and (endpoint == known or self._is_superseded(endpoint, known)):
             return []
         self._endpoints[endpoint.id] = endpoint
-        if better is not None:
-            return [better]
-        if known is not None and _is_as_before(endpoint, known):
+        if override is not None:
+            return [override]
+        if known is not None and _is_only_relisted(endpoint, known):
             return []
         return [BackendChange(endpoint, False, endpoint.position)]
 
     def remove(self, endpoint_id: str, position: StorePosition) -> list[BackendChange]:
-        """Forget one backend, unless it is known to have come back since."""
+        """Remove one backend, unless it was added again since."""
         known = self._endpoints.get(endpoint_id)
         if known is not None and known.position > position:
             return []
         self.store_return.doubted.discard(endpoint_id)
-        self._forget(endpoint_id, position)
+        self._discard(endpoint_id, position)
         return [BackendChange(known, True, position)] if known is not None else []
 
-    def hear(self, news: BackendChange) -> bool:
-        """Take what another entry learned from the store; false when it is old or doubted.
+    def apply_peer_change(self, change: BackendChange) -> bool:
+        """Apply a change that another entry read from the store; false if stale or doubted.
 
-        An event that the store had lost is told as of the list in which it was found: it
-        is no older than what is known here, although all up to there has been heard.
+        A change that the watch missed has the position of the list in which it was found. It
+        is accepted even if all changes up to that position are known here.
         """
-        self._heard_of(news.position)
-        told = self._as_of_return(replace(news.endpoint, position=news.position), news.gone)
-        is_found = (
-            news.was_lost
-            and told.id not in self._endpoints
-            and told.position >= self.position
-            and told.position > self._gone.get(told.id, 0)
+        self._observe_position(change.position)
+        update = self._rebase_late_end(
+            replace(change.endpoint, position=change.position), change.gone
+        )
+        is_missed_change = (
+            change.was_lost
+            and update.id not in self._endpoints
+            and update.position >= self.position
+            and update.position > self._removed.get(update.id, 0)
         )
-        if self._is_old(told, news) and not is_found:
+        if self._is_stale(update, change) and not is_missed_change:
             return False
-        if news.gone:
-            self._forget(told.id, told.position)
+        if change.gone:
+            self._discard(update.id, update.position)
             return True
-        is_doubted = self._known_better(told) is not None
-        self.put(told)
+        is_doubted = self._override_for(update) is not None
+        self.put(update)
         return not is_doubted
 
-    def refute(self, news: BackendChange) -> BackendChange | None:
-        """Return what to answer to old news of a backend that is gone; ``None`` for none.
+    def refute(self, change: BackendChange) -> BackendChange | None:
+        """Return the correction to send for a stale change; ``None`` if there is none.
 
-        A list tells what there is, not what has ended since. Whoever read it cannot tell
-        the others of a backend that it never heard of; it can when one of them does. Of
-        what is older than the store's return it cannot: the copy may lack the backend.
+        A list does not name removed backends, so an entry that started from a list cannot
+        announce their removal; it can answer when another entry still reports one of them.
+        Changes from before the store's restore are not refuted, since the copy may lack
+        the backend.
 
-        Also answers word of a backend that the store's copy has and that is known better.
+        Also corrects a change that stems from the restored copy if newer state is known.
         """
-        is_of_copy = not news.gone and news.endpoint.state is EndpointState.READY
-        if is_of_copy and news.endpoint.id in self.store_return.doubted:
-            return self._correction(news)
-        if era_of(news.position) < self.store_return.era:
+        may_be_from_copy = not change.gone and change.endpoint.state is EndpointState.READY
+        if may_be_from_copy and change.endpoint.id in self.store_return.doubted:
+            return self._correction(change)
+        if era_of(change.position) < self.store_return.era:
             return None
-        is_past = self.is_known and news.position <= self.position
-        if news.gone or not is_past or news.endpoint.id in self._endpoints:
+        is_past = self.is_known and change.position <= self.position
+        if change.gone or not is_past or change.endpoint.id in self._endpoints:
             return None
-        # Just after a return the position may be the very one at which the copy has it.
-        is_of_return = self.store_return.is_settling
-        return BackendChange(news.endpoint, True, self.position, was_lost=is_of_return)
+        # Just after a restore the position may equal the one at which the copy has it.
+        is_after_restore = self.store_return.is_settling
+        return BackendChange(change.endpoint, True, self.position, was_lost=is_after_restore)
 
-    def knows_up_to(self, position: StorePosition) -> None:
-        """Take note that all changes up to a position have come."""
-        self._heard_of(position)
+    def advance_to(self, position: StorePosition) -> None:
+        """Record that all changes up to a position have been received."""
+        self._observe_position(position)
         if self.is_known:
             self.position = max(self.position, position)
 
-    def _heard_of(self, position: StorePosition) -> None:
+    def _observe_position(self, position: StorePosition) -> None:
         self.store_return.heard_of(position, self.is_known)
 
-    def _may_be_unwritten(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend that a list lacks may live and write its entry again."""
-        is_of_before = era_of(endpoint.position) < self.store_return.era
-        return is_of_before and self.store_return.lacks_backends
+    def _may_be_rewritten(self, endpoint: Endpoint) -> bool:
+        """Tell whether a backend that a list lacks may be alive and about to rewrite its entry."""
+        is_of_earlier_era = era_of(endpoint.position) < self.store_return.era
+        return is_of_earlier_era and self.store_return.lacks_backends
 
-    def _known_better(self, told: Endpoint) -> BackendChange | None:
-        """Return what is known of a backend that the store's copy may not know."""
-        known = self._endpoints.get(told.id)
+    def _override_for(self, update: Endpoint) -> BackendChange | None:
+        """Return known state of a backend that the restored copy may lack; ``None`` if none."""
+        known = self._endpoints.get(update.id)
         if known is None:
-            gone = self._gone.get(told.id, 0)
-            if gone and self.store_return.is_doubtful(told.id, gone, told.position):
-                return BackendChange(told, True, told.position, was_lost=True)
+            gone = self._removed.get(update.id, 0)
+            if gone and self.store_return.is_doubtful(update.id, gone, update.position):
+                return BackendChange(update, True, update.position, was_lost=True)
             return None
-        says_more = known.state is EndpointState.LEAVING and told.state is EndpointState.READY
-        is_same_run = (known.run, known.address) == (told.run, told.address)
-        if not (says_more and is_same_run):
+        adds_leaving = known.state is EndpointState.LEAVING and update.state is EndpointState.READY
+        is_same_run = (known.run, known.address) == (update.run, update.address)
+        if not (adds_leaving and is_same_run):
             return None
-        if not self.store_return.is_doubtful(told.id, known.position, told.position):
+        if not self.store_return.is_doubtful(update.id, known.position, update.position):
             return None
-        leaving = replace(told, state=EndpointState.LEAVING)
-        return BackendChange(leaving, False, told.position, was_lost=True)
+        leaving = replace(update, state=EndpointState.LEAVING)
+        return BackendChange(leaving, False, update.position, was_lost=True)
 
-    def _as_of_return(self, told: Endpoint, gone: bool) -> Endpoint:
-        """Return late word of an end as of what the copy says of the same run.
+    def _rebase_late_end(self, update: Endpoint, gone: bool) -> Endpoint:
+        """Move a late end of a run to the position that the restored copy has for the run.
 
-        It came to be before the store's return, and the copy does not know it.
+        The end was written before the store's restore and is missing in the copy.
         """
-        known = self._endpoints.get(told.id)
-        is_end = gone or told.state is EndpointState.LEAVING
-        is_late = known is not None and era_of(told.position) < era_of(known.position)
+        known = self._endpoints.get(update.id)
+        is_end = gone or update.state is EndpointState.LEAVING
+        is_late = known is not None and era_of(update.position) < era_of(known.position)
         if known is None or not (is_end and is_late and self.store_return.is_settling):
-            return told
-        if known.run != told.run and not gone:
-            return told
-        self.store_return.doubted.add(told.id)
-        return replace(told, position=known.position)
-
-    def _correction(self, news: BackendChange) -> BackendChange | None:
-        """Return what is known of a backend in place of what the store's copy says."""
-        known = self._endpoints.get(news.endpoint.id)
+            return update
+        if known.run != update.run and not gone:
+            return update
+        self.store_return.doubted.add(update.id)
+        return replace(update, position=known.position)
+
+    def _correction(self, change: BackendChange) -> BackendChange | None:
+        """Return the known state of a backend that overrides the restored copy's."""
+        known = self._endpoints.get(change.endpoint.id)
         if known is not None and known.state is EndpointState.READY:
             return None
         if known is None:
-            position = max(news.position, self.position)
-            return BackendChange(news.endpoint, True, position, was_lost=True)
-        position = max(news.position, known.position)
+            position = max(change.position, self.position)
+            return BackendChange(change.endpoint, True, position, was_lost=True)
+        position = max(change.position, known.position)
         return BackendChange(replace(known, position=position), False, position, was_lost=True)
 
-    def _loses(self, told: Endpoint, known: Endpoint) -> bool:
-        """Tell whether word of a backend does not change what is known.
+    def _is_superseded(self, update: Endpoint, known: Endpoint) -> bool:
+        """Tell whether the known state of a backend takes precedence over an update.
 
-        Of two words of one position the one that it leaves counts: the other is the copy's.
+        Of two states at one position LEAVING wins: the other is from the restored copy.
         """
-        if told.position != known.position:
-            return told.position < known.position
-        is_settled = told.id in self.store_return.doubted and not self.store_return.is_settling
+        if update.position != known.position:
+            return update.position < known.position
+        is_settled = update.id in self.store_return.doubted and not self.store_return.is_settling
         return known.state is EndpointState.LEAVING and not is_settled
 
-    def _was_lost(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend in the store's list should have been heard of before."""
+    def _was_missed(self, endpoint: Endpoint) -> bool:
+        """Tell whether the watch should have reported a listed backend before."""
         if endpoint.id in self.store_return.doubted:
             return not self.store_return.is_settling
         known = self._endpoints.get(endpoint.id)
-        if known is not None and _is_as_before(endpoint, known):
+        if known is not None and _is_only_relisted(endpoint, known):
             return False
-        is_unheard = known is None or known.position < endpoint.position
-        return is_unheard and endpoint.position <= self.position
+        is_unreported = known is None or known.position < endpoint.position
+        return is_unreported and endpoint.position <= self.position
 
-    def _is_old(self, endpoint: Endpoint, news: BackendChange | None = None) -> bool:
-        """Tell whether what others say of a backend is no news here."""
+    def _is_stale(self, endpoint: Endpoint, change: BackendChange | None = None) -> bool:
+        """Tell whether an update from another entry is no newer than what is known."""
         known = self._endpoints.get(endpoint.id)
         newest = known.position if known is not None else self.position
-        newest = max(newest, self._gone.get(endpoint.id, 0))
-        if known is None or endpoint.position != newest or news is None:
+        newest = max(newest, self._removed.get(endpoint.id, 0))
+        if known is None or endpoint.position != newest or change is None:
             return endpoint.position <= newest
-        # Of two words of one position the copy's is the one that knows of no end.
-        is_of_return = news.was_lost or self.store_return.is_settling
-        is_end = news.gone or endpoint.state is EndpointState.LEAVING
-        return not (is_of_return and is_end and known.state is EndpointState.READY)
+        # Of two states at one position the one without an end is from the restored copy.
+        is_after_restore = change.was_lost or self.store_return.is_settling
+        is_end = change.gone or endpoint.state is EndpointState.LEAVING
+        return not (is_after_restore and is_end and known.state is EndpointState.READY)
 
-    def _forget(self, endpoint_id: str, position: StorePosition) -> None:
+    def _discard(self, endpoint_id: str, position: StorePosition) -> None:
         self._endpoints.pop(endpoint_id, None)
-        self._gone[endpoint_id] = max(position, self._gone.get(endpoint_id, 0))
-        while len(self._gone) > _GONE_LIMIT:
-            del self._gone[next(iter(self._gone))]
+        self._removed[endpoint_id] = max(position, self._removed.get(endpoint_id, 0))
+        while len(self._removed) > _MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
 
 
-def _is_as_before(told: Endpoint, known: Endpoint) -> bool:
-    """Tell whether a backend is listed anew by a store that is back, and nothing else.
+def _is_only_relisted(update: Endpoint, known: Endpoint) -> bool:
+    """Tell whether only the position has changed because the store was restored.
 
-    All are, and need not be told of to everybody.
+    This happens to all backends, and need not be sent to the other entries.
     """
-    is_of_before = era_of(known.position) < era_of(told.position)
-    return is_of_before and replace(known, position=told.position) == told
+    is_of_earlier_era = era_of(known.position) < era_of(update.position)
+    return is_of_earlier_era and replace(known, position=update.position) == update
--- a/src/canvasyoke/direct/_pass_over.py
+++ b/src/canvasyoke/direct/_pass_over.py
@@ -16,7 +16,7 @@
 from canvasyoke._registry import Registry
 from canvasyoke.coordination import Unavailability
 from canvasyoke.direct._backend_health import BackendHealth
-from canvasyoke.direct._backend_words import BackendWords
+from canvasyoke.direct._backend_words import BackendNotices
 from canvasyoke.direct._domains import DomainReach
 from canvasyoke.direct._groups import RankGroups
 from canvasyoke.direct._member import Member
@@ -28,7 +28,7 @@
     """What an entry knows of backends beyond what it keeps of each."""
 
     clock: Clock
-    words: BackendWords
+    words: BackendNotices
     health: BackendHealth
     groups: RankGroups
     domains: DomainReach
@@ -45,7 +45,7 @@
 
 @FACTS.register("backoff")
 def _backs_off(sources: Sources, member: Member) -> Unavailability | None:
-    backoff = sources.words.backoff_left(member.endpoint)
+    backoff = sources.words.remaining_backoff(member.endpoint)
     return Unavailability(Reason.BACKOFF, backoff) if backoff else None
 
 
@@ -65,7 +65,7 @@
 @SUSPICIONS.register("backoff elsewhere")
 def _backs_off_elsewhere(sources: Sources, member: Member) -> bool:
     """It has asked another entry to back off, and has probably no room for this one either."""
-    return sources.words.backs_off_elsewhere(member.endpoint)
+    return sources.words.has_peer_backoff(member.endpoint)
 
 
 @SUSPICIONS.register("moved")
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -16,7 +16,7 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.direct._backend_exchange import BackendExchange
 from canvasyoke.direct._backend_news import to_crash_news
-from canvasyoke.direct._backend_words import ToldWord
+from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._crash_cases import CrashCase
 from canvasyoke.direct._demand_shares import DemandShares
@@ -29,7 +29,7 @@
 from canvasyoke.direct._table_exchange import TableExchange
 from canvasyoke.direct._table_follower import TableView
 from canvasyoke.direct._telling import AT_LEAST, TELL_EVERY, Telling
-from canvasyoke.direct._word_exchange import WordExchange
+from canvasyoke.direct._word_exchange import NoticeExchange
 from canvasyoke.membership import OverlayLinks, Place, StoreContact, WatchRota
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
@@ -101,7 +101,7 @@
         self._shares = DemandShares(budget.demand, clock)
         roster.set_share(self._shares.share)
         self._backends = BackendExchange(roster, self._tell_all, self._tell_now, clock)
-        self._words = WordExchange(roster, self._tell_all)
+        self._words = NoticeExchange(roster, self._tell_all)
         #: Where the other entries are, until the task that keeps the links takes it.
         self._found: list[Place] | None = None
         self._finder = threading.Thread(target=self._find_all, name="find-entries", daemon=True)
@@ -127,7 +127,7 @@
 
     def tell_backend(self, change: BackendChange) -> None:
         """Pass on what the store said of a backend."""
-        self._backends.tell(change)
+        self._backends.share(change)
 
     def tell_group(self, backend: str, group: str) -> None:
         """Pass on which group a backend belongs to."""
@@ -141,9 +141,9 @@
         """Pass on that a backend says nothing."""
         self._tell_all(SilenceNews(backend))
 
-    def tell_word(self, told: ToldWord) -> None:
+    def tell_word(self, told: SharedNotice) -> None:
         """Pass on what a backend has said of itself."""
-        self._words.tell(told)
+        self._words.share(told)
 
     def tell_case(self, fingerprint: str, case: CrashCase) -> None:
         """Pass on what is known against a request under which backends have ended."""
@@ -216,13 +216,13 @@
             case TableWanted():
                 self._tables.send(session, message.version)
             case BackendsWanted():
-                session.send(self._backends.all())
+                session.send(self._backends.snapshot())
             case TableDocument():
                 self._tables.adopt(session, message)
             case BackendNews():
-                self._backends.took_news(session, message)
+                self._backends.receive_news(session, message)
             case BackendList():
-                self._backends.took_list(session, message)
+                self._backends.receive_list(session, message)
             case GroupNews():
                 if self._roster.learn_group(message.backend, message.group):
                     self._tell_all(message, but=session)
@@ -233,7 +233,7 @@
                 if self._roster.fell_silent(message.backend):
                     self._tell_all(message, but=session)
             case BackendWords():
-                self._words.took(session, message)
+                self._words.receive(session, message)
             case CrashNews():
                 self._take_case(message)
             case CrashList():
@@ -248,7 +248,7 @@
 
     def _took_load(self, session: Session, load: EntryLoad) -> None:
         if load.demands:
-            self._shares.told(session.peer, load.demands)
+            self._shares.report_demand(session.peer, load.demands)
         if self._links.is_mesh or session.peer in self._near:
             self._roster.peer_load(session.peer, ToldLoad(load.told_at, load.under_way))
         for relayed in load.relayed:
@@ -257,7 +257,7 @@
                 self._roster.peer_load(relayed.entry, told)
         self.rota.hear([StoreContact(w.name, w.age, w.is_lost) for w in load.watchers])
         self._tables.heard_of(load.config_version, session)
-        self._backends.heard_up_to(load.backends_revision, load.backends_age, session)
+        self._backends.peer_knows_up_to(load.backends_revision, load.backends_age, session)
 
     def _load(self, is_near: bool, relayed: list[RelayedLoad]) -> EntryLoad:
         """Return what to tell an entry of the own domain, or of another one."""
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -25,7 +25,7 @@
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct._table_follower import TableFollower, TableView
-from canvasyoke.direct._word_keeper import WordKeeper
+from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.observe import LineWriter, part_logger
 from canvasyoke.state import (
     FLEET_STORES,
@@ -110,7 +110,7 @@
         )
         port = DIRECT_BACKENDS.get(settings.adapter)()
         breaks = BreakExaminer(self._roster, self._metrics)
-        words = WordKeeper(self._roster, self._metrics, self._peers.tell_word)
+        words = NoticeHandler(self._roster, self._metrics, self._peers.tell_word)
         forwarder = Forwarder(
             port, self._roster, self._budget, breaks, self._quarantine, words, self._clock, rng
         )
--- a/src/canvasyoke/direct/_roster.py
+++ b/src/canvasyoke/direct/_roster.py
@@ -50,7 +50,7 @@
                 len(self._fleet.near) + 1,
             )
             fastest = self._groups.fastest_pause()
-            has_words = self._words.is_any
+            has_words = self._words.has_any
             found = filter_candidates(
                 [
                     self._candidate(m, fastest, has_words)
@@ -68,7 +68,7 @@
                 return NoneAble(Reason.OVERLOADED)
             member.own += 1
             member.ejection.sent()
-            self._words.sent(member.endpoint)
+            self._words.record_sent(member.endpoint)
             heard_ago = self.clock.now() - member.heard_at
             return Chosen(member.endpoint, best.load, heard_ago, self._list_age())
 
@@ -174,7 +174,7 @@
         with self._lock:
             member = self._members.get(run)
             if member is not None:
-                self._words.was_not_sent(member.endpoint)
+                self._words.refund(member.endpoint)
 
     def moved(self, run: str) -> None:
         """Take note that another run has the address of this one."""
--- a/src/canvasyoke/direct/_word_exchange.py
+++ b/src/canvasyoke/direct/_word_exchange.py
@@ -1,11 +1,11 @@
-"""Passes on among entries what backends have said of themselves to one of them."""
+"""Shares among entries the notices that one of them has received from backends."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from canvasyoke.direct._backend_limits import RateWord
-from canvasyoke.direct._backend_words import ToldWord
+from canvasyoke.direct._backend_limits import RateLimit
+from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import BackendWord, BackendWords, LimitWord, Message
@@ -14,30 +14,32 @@
 _log = part_logger("words")
 
 
-class WordExchange:
-    """Words only add up, so they may come in any order and any number of times."""
+class NoticeExchange:
+    """Sends and receives shared notices, which may arrive repeatedly and in any order."""
 
-    def __init__(self, roster: Roster, tell_all: Callable[[Message, Session | None], None]) -> None:
+    def __init__(
+        self, roster: Roster, broadcast: Callable[[Message, Session | None], None]
+    ) -> None:
         self._roster = roster
-        self._tell_all = tell_all
+        self._broadcast = broadcast
 
-    def tell(self, told: ToldWord) -> None:
-        """Tell the others what a backend has said to this entry."""
-        self._tell_all(BackendWords([_to_message(told)]), None)
+    def share(self, notice: SharedNotice) -> None:
+        """Send the other entries a notice that this entry has received."""
+        self._broadcast(BackendWords([_to_message(notice)]), None)
 
     def opened(self, session: Session) -> None:
-        """Tell an entry that is newly linked with all that still holds."""
-        words = self._roster.words_to_tell()
-        if words:
-            session.send(BackendWords([_to_message(told) for told in words]))
-
-    def took(self, session: Session, message: BackendWords) -> None:
-        """Take what another entry tells, and pass on what is news."""
-        news = [word for word in message.words if self._roster.heard_word(_to_told(word))]
-        if not news:
+        """Send a newly linked entry all notices that are still in effect."""
+        notices = self._roster.words_to_tell()
+        if notices:
+            session.send(BackendWords([_to_message(notice) for notice in notices]))
+
+    def receive(self, session: Session, message: BackendWords) -> None:
+        """Apply what another entry has shared, and forward what was new."""
+        new = [word for word in message.words if self._roster.heard_word(_to_notice(word))]
+        if not new:
             return
-        self._tell_all(BackendWords(news), session)
-        for word in news:
+        self._broadcast(BackendWords(new), session)
+        for word in new:
             _log.info(
                 "word of a backend",
                 backend=word.backend,
@@ -48,11 +50,11 @@
             )
 
 
-def _to_message(told: ToldWord) -> BackendWord:
-    limit = LimitWord(told.limit.age, told.limit.rate) if told.limit is not None else None
-    return BackendWord(told.run, told.address, told.backoff, told.is_leaving, limit)
+def _to_message(notice: SharedNotice) -> BackendWord:
+    limit = LimitWord(notice.limit.age, notice.limit.rate) if notice.limit is not None else None
+    return BackendWord(notice.run, notice.address, notice.backoff, notice.is_leaving, limit)
 
 
-def _to_told(word: BackendWord) -> ToldWord:
-    limit = RateWord(word.limit.rate, word.limit.age) if word.limit is not None else None
-    return ToldWord(word.backend, word.address, word.backoff, word.is_leaving, limit)
+def _to_notice(word: BackendWord) -> SharedNotice:
+    limit = RateLimit(word.limit.rate, word.limit.age) if word.limit is not None else None
+    return SharedNotice(word.backend, word.address, word.backoff, word.is_leaving, limit)
--- a/src/canvasyoke/direct/_word_keeper.py
+++ b/src/canvasyoke/direct/_word_keeper.py
@@ -1,4 +1,4 @@
-"""Takes what backends say of themselves, and tells operators what it changes."""
+"""Applies the notices in backends' answers, and logs and shares what they change."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from canvasyoke._clock import SECOND
 from canvasyoke.backend import BackendNotice, UnreadableField
-from canvasyoke.direct._backend_words import ToldWord
+from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
 from canvasyoke.state import Endpoint
 
 _log = part_logger("words")
-#: Unreadable words that are remembered, so that each is logged once.
-_UNREADABLE_LIMIT: Final = 1_000
+#: Unreadable fields that are remembered, so that each is logged once.
+_MAX_UNREADABLE: Final = 1_000
 
 
-class WordKeeper:
-    """One for all attempts of an entry; thread-safe."""
+class NoticeHandler:
+    """Handles the notices of all attempts of an entry; thread-safe."""
 
     def __init__(
-        self, roster: Roster, metrics: DirectMetrics, on_news: Callable[[ToldWord], None]
+        self, roster: Roster, metrics: DirectMetrics, on_change: Callable[[SharedNotice], None]
     ) -> None:
         self._roster = roster
         self._metrics = metrics
-        self._on_news = on_news
+        self._on_change = on_change
         self._lock = threading.Lock()
-        #: Runs and fields of which an unreadable word was logged, in the order they came.
+        #: Runs and unreadable fields that were logged, oldest first.
         self._unreadable: dict[tuple[str, str], None] = {}
 
-    def took(self, endpoint: Endpoint, notice: BackendNotice) -> None:
-        """Take the notice in the head of any answer of a backend."""
+    def handle(self, endpoint: Endpoint, notice: BackendNotice) -> None:
+        """Apply the notice in the head of an answer, whatever its status."""
         for field in notice.unreadable:
-            self._found_unreadable(endpoint.run, field)
+            self._report_unreadable(endpoint.run, field)
         change = self._roster.took_notice(endpoint, notice)
         if change.backoff:
             _log.info(
@@ -53,19 +53,19 @@
                 service=endpoint.service,
                 rate=change.limit.rate,
             )
-        if change.is_any:
-            self._on_news(
-                ToldWord(
+        if change.has_any:
+            self._on_change(
+                SharedNotice(
                     endpoint.run, endpoint.address, change.backoff, change.leaves, change.limit
                 )
             )
 
-    def _found_unreadable(self, run: str, field: UnreadableField) -> None:
+    def _report_unreadable(self, run: str, field: UnreadableField) -> None:
         self._metrics.unreadable_word(field.name)
         with self._lock:
             if (run, field.name) in self._unreadable:
                 return
             self._unreadable[run, field.name] = None
-            if len(self._unreadable) > _UNREADABLE_LIMIT:
+            if len(self._unreadable) > _MAX_UNREADABLE:
                 del self._unreadable[next(iter(self._unreadable))]
         _log.warning("unreadable word", backend=run, field=field.name, text=field.text)
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -14,7 +14,7 @@
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import WordKeeper
+from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.state import Endpoint, Repeatability, ServiceShare, TableRoute
 from canvasyoke.transport import ExchangeSlot, Reach
 
@@ -62,7 +62,7 @@
     quarantine = quarantine or Quarantine(clock, lambda _name, _case: None)
     metrics = DirectMetrics()
     breaks = BreakExaminer(roster, metrics, lambda _address, _timeout: reach)
-    words = WordKeeper(roster, metrics, lambda _told: None)
+    words = NoticeHandler(roster, metrics, lambda _told: None)
     return Forwarder(port, roster, budget, breaks, quarantine, words, clock, random.Random(1))
 
 
--- a/src/canvasyoke/direct/tests/test_backend_words.py
+++ b/src/canvasyoke/direct/tests/test_backend_words.py
@@ -1,4 +1,4 @@
-"""How long the word of a backend holds, and for whom."""
+"""How long a backend's notice is in effect, and for which entries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice
-from canvasyoke.direct._backend_words import LONGEST_BACKOFF, ToldWord
+from canvasyoke.direct._backend_words import MAX_BACKOFF, SharedNotice
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
@@ -35,7 +35,7 @@
 
 
 def chosen(roster: Roster) -> set[str]:
-    """Return the backends among which requests are spread now."""
+    """Return the ids of the backends that are chosen now."""
     found = [roster.choose(Wanted("ink")) for _ in range(8)]
     for choice in found:
         if isinstance(choice, Chosen):
@@ -43,7 +43,7 @@
     return {choice.endpoint.id for choice in found if isinstance(choice, Chosen)}
 
 
-def test_a_backoff_holds_until_its_end(roster: Roster, clock: ManualClock) -> None:
+def test_a_backoff_is_in_effect_until_its_end(roster: Roster, clock: ManualClock) -> None:
     roster.took_notice(A, BACKOFF)
     assert chosen(roster) == {"b"}
     clock.advance(2_999)
@@ -52,7 +52,7 @@
     assert chosen(roster) == {"a", "b"}
 
 
-def test_where_all_ask_to_back_off_nobody_is_chosen_and_the_first_end_is_told(
+def test_if_all_back_off_none_is_chosen_and_the_earliest_end_is_returned(
     roster: Roster, clock: ManualClock
 ) -> None:
     roster.took_notice(A, BACKOFF)
@@ -63,8 +63,8 @@
     assert not roster.has_other("ink", frozenset())
 
 
-#: What comes after three seconds of backoff were asked for, and what is left of them then.
-AFTERWARDS: list[tuple[str, Callable[[Roster], object], int]] = [
+#: Events after a backoff of three seconds was requested, and the remaining milliseconds.
+AFTER_BACKOFF: list[tuple[str, Callable[[Roster], object], int]] = [
     ("nothing", lambda _: None, 3_000),
     ("a shorter backoff", lambda r: r.took_notice(A, BackendNotice(backoff=500)), 3_000),
     ("a longer backoff", lambda r: r.took_notice(A, BackendNotice(backoff=4_000)), 4_000),
@@ -97,28 +97,28 @@
 
 
 @pytest.mark.parametrize(
-    ("happens", "left"), [case[1:] for case in AFTERWARDS], ids=[case[0] for case in AFTERWARDS]
+    ("event", "left"), [case[1:] for case in AFTER_BACKOFF], ids=[case[0] for case in AFTER_BACKOFF]
 )
-def test_what_ends_a_backoff(
-    roster: Roster, happens: Callable[[Roster], object], left: int
-) -> None:
+def test_what_ends_a_backoff(roster: Roster, event: Callable[[Roster], object], left: int) -> None:
     roster.took_notice(A, BACKOFF)
-    happens(roster)
+    event(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
-    assert roster._words.backoff_left(now) == left
+    assert roster._words.remaining_backoff(now) == left
     assert roster.may_send(now) is (left == 0)
 
 
-def test_a_backoff_without_an_end_is_bounded(roster: Roster, clock: ManualClock) -> None:
+def test_an_excessive_backoff_is_bounded(roster: Roster, clock: ManualClock) -> None:
     roster.took_notice(A, BackendNotice(backoff=10**15))
-    clock.advance(LONGEST_BACKOFF - 1)
+    clock.advance(MAX_BACKOFF - 1)
     assert chosen(roster) == {"b"}
     clock.advance(1)
     assert chosen(roster) == {"a", "b"}
 
 
-def test_the_time_of_a_suspended_machine_counts(roster: Roster, clock: ManualClock) -> None:
-    """The clock goes on while the machine does not: the backoff is over when it wakes."""
+def test_a_backoff_elapses_while_the_machine_is_suspended(
+    roster: Roster, clock: ManualClock
+) -> None:
+    """The clock includes the time of suspension, so the backoff is over on resume."""
     roster.took_notice(A, BACKOFF)
     clock.advance(60 * SECOND)
     assert chosen(roster) == {"a", "b"}
@@ -134,7 +134,7 @@
     roster.group_broke(run)
 
 
-#: What speaks against a backend, and whether it is set aside when no other is left.
+#: Reasons against choosing a backend, and whether they are ignored when no other is left.
 REASONS: list[tuple[str, Callable[[Roster], object], bool]] = [
     ("backoff", lambda r: r.took_notice(A, BACKOFF), False),
     ("the store says that it leaves", lambda r: r.put(at(leaving(A), 7)), False),
@@ -148,19 +148,19 @@
 
 
 @pytest.mark.parametrize(
-    ("speaks", "is_set_aside"), [case[1:] for case in REASONS], ids=[case[0] for case in REASONS]
+    ("apply", "is_ignorable"), [case[1:] for case in REASONS], ids=[case[0] for case in REASONS]
 )
-def test_facts_and_suspicions(
-    roster: Roster, speaks: Callable[[Roster], object], is_set_aside: bool
+def test_only_suspicions_are_ignored_for_the_last_backend(
+    roster: Roster, apply: Callable[[Roster], object], is_ignorable: bool
 ) -> None:
-    speaks(roster)
+    apply(roster)
     assert chosen(roster) == {"b"}
     roster.remove("b", 8)
-    assert chosen(roster) == ({"a"} if is_set_aside else set())
+    assert chosen(roster) == ({"a"} if is_ignorable else set())
 
 
-def test_a_backend_to_back_off_from_does_not_isolate_the_entry(roster: Roster) -> None:
-    """It answers: callers would not fare better at entries of other domains."""
+def test_backoffs_do_not_isolate_the_entry(roster: Roster) -> None:
+    """The backends are reachable, so entries of other domains could not serve callers better."""
     far = dataclasses.replace(B, id="c", domain="nbo-b", address="10.0.0.4:1")
     roster.put(at(far, 7))
     for endpoint in (A, B, far):
@@ -170,15 +170,15 @@
 
 
 def test_a_suspicion_does_not_shorten_another(roster: Roster, clock: ManualClock) -> None:
-    """A refusal that was under way came after word that another run has the address."""
+    """Guards against a late refusal replacing the longer penalty for a moved address."""
     roster.moved("a")
     roster.refused("a", 150)
     clock.advance(4_999)
     assert chosen(roster) == {"b"}
 
 
-#: What comes after a backend has said that it leaves, and whether it still counts as leaving.
-ORDER: list[tuple[str, Callable[[Roster], object], bool]] = [
+#: Events after a backend has announced leaving, and whether it still counts as leaving.
+AFTER_LEAVING: list[tuple[str, Callable[[Roster], object], bool]] = [
     ("nothing", lambda _: None, True),
     ("an answer that does not say so", lambda r: r.took_notice(A, BackendNotice()), True),
     ("an older list that has it ready", lambda r: r.merge([A, B], 4), True),
@@ -192,50 +192,52 @@
 
 
 @pytest.mark.parametrize(
-    ("happens", "leaves"), [case[1:] for case in ORDER], ids=[case[0] for case in ORDER]
+    ("event", "leaves"),
+    [case[1:] for case in AFTER_LEAVING],
+    ids=[case[0] for case in AFTER_LEAVING],
 )
-@pytest.mark.parametrize("is_told", [False, True], ids=["said here", "told by another entry"])
-def test_own_word_against_the_store_s(
-    roster: Roster, happens: Callable[[Roster], object], leaves: bool, is_told: bool
+@pytest.mark.parametrize("is_shared", [False, True], ids=["said here", "told by another entry"])
+def test_an_announced_leaving_takes_precedence_over_the_store(
+    roster: Roster, event: Callable[[Roster], object], leaves: bool, is_shared: bool
 ) -> None:
-    if is_told:
-        assert roster.heard_word(ToldWord("a", A.address, is_leaving=True))
+    if is_shared:
+        assert roster.heard_word(SharedNotice("a", A.address, is_leaving=True))
     else:
         assert roster.took_notice(A, LEAVES).leaves
-    happens(roster)
+    event(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
     assert roster.is_ready(now.run) is not leaves
     assert roster.may_send(now) is not leaves
     assert chosen(roster) == ({"b"} if leaves else {"a", "b"})
 
 
-def test_where_all_leave_nobody_is_chosen(roster: Roster) -> None:
+def test_if_all_are_leaving_none_is_chosen(roster: Roster) -> None:
     for endpoint in (A, B):
         roster.took_notice(endpoint, LEAVES)
     assert roster.choose(Wanted("ink")) == NoneAble(Reason.LEAVING)
     assert not roster.has_other("ink", frozenset())
 
 
-def test_word_is_news_once(roster: Roster) -> None:
+def test_a_notice_is_reported_as_changed_once(roster: Roster) -> None:
     assert roster.took_notice(A, LEAVES).leaves
     assert not roster.took_notice(A, LEAVES).leaves
-    assert not roster.heard_word(ToldWord("a", A.address, is_leaving=True))
-    assert roster.words_to_tell() == [ToldWord("a", A.address, is_leaving=True)]
+    assert not roster.heard_word(SharedNotice("a", A.address, is_leaving=True))
+    assert roster.words_to_tell() == [SharedNotice("a", A.address, is_leaving=True)]
 
 
-def test_words_of_runs_that_are_gone_are_not_told(roster: Roster) -> None:
+def test_notices_of_removed_runs_are_not_shared(roster: Roster) -> None:
     roster.took_notice(A, LEAVES)
     roster.remove("a", 6)
     assert roster.words_to_tell() == []
 
 
-def test_words_are_bounded(roster: Roster) -> None:
+def test_the_number_of_notices_is_bounded(roster: Roster) -> None:
     for number in range(10_010):
-        roster.heard_word(ToldWord(f"c-{number}", "10.0.0.9:1", is_leaving=True))
-    assert len(roster._words._words) == 10_000
+        roster.heard_word(SharedNotice(f"c-{number}", "10.0.0.9:1", is_leaving=True))
+    assert len(roster._words._states) == 10_000
 
 
-def test_a_backend_to_back_off_from_is_not_asked_for_its_group_or_pace(
+def test_a_backend_in_backoff_is_not_asked_for_its_group_or_pace(
     roster: Roster, clock: ManualClock
 ) -> None:
     roster.learn_group("a", "g")
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""No way leads to a backend that has asked to back off."""
+"""No attempt is sent to a backend that has asked to back off."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     Sending,
     UnreadableField,
 )
-from canvasyoke.direct._backend_limits import RateWord
-from canvasyoke.direct._backend_words import ToldWord
+from canvasyoke.direct._backend_limits import RateLimit
+from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import DirectCall, GaveUp
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import WordKeeper
+from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.direct.tests.calls import ROUTE, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState, TableRoute
 from canvasyoke.transport import ExchangeError, ExchangeSlot
 
 RESUMABLE = replace(ROUTE, resumable=True, max_attempts=3)
-ASKS = NotRun(NotRunCause.FULL, "refused with status 503", notice=BackendNotice(backoff=3_000))
+REFUSAL = NotRun(NotRunCause.FULL, "refused with status 503", notice=BackendNotice(backoff=3_000))
 NAMES = ("b-1", "b-2", "b-3")
 
 
 class _Answer(BackendAnswer):
-    """An answer that may end early."""
+    """An answer whose body may break off."""
 
     def __init__(self, pieces: list[bytes], status: int = 200, notice: BackendNotice | None = None):
         self.status = status
@@ -62,13 +62,13 @@
 
 
 class _Port(DirectBackendPort):
-    """Answers as a test says; asks the slot as the transport does."""
+    """Returns scripted answers; acquires the slot as the transport does."""
 
     def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
         self._answer = answer
-        #: Backends that a request was written to.
+        #: Ids of the backends that a request was written to.
         self.reached: list[str] = []
-        #: Happens while the connection is made.
+        #: Called while the connection is established.
         self.on_connect: Callable[[Endpoint], object] = lambda _: None
 
     def send(
@@ -89,7 +89,7 @@
 
 
 class _Entry:
-    """An entry's decisions over a port, without sockets."""
+    """An entry's forwarder with a scripted port in place of sockets."""
 
     def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
         self.clock = ManualClock(start=10_000)
@@ -124,7 +124,7 @@
     return _Entry(lambda _: _Answer(WHOLE))
 
 
-def test_all_that_asked_are_left_alone_and_the_caller_is_told_when(entry: _Entry) -> None:
+def test_if_all_back_off_none_is_tried_and_the_caller_is_told_when_to_retry(entry: _Entry) -> None:
     entry.back_off(*NAMES)
     entry.clock.advance(1_000)
     call, last = entry.run()
@@ -136,8 +136,8 @@
     assert not call.may_have_run
 
 
-def test_a_caller_with_little_time_is_told_the_truth(entry: _Entry) -> None:
-    """A time within what it has left would bring it back to be refused again."""
+def test_the_retry_time_is_not_cut_to_the_caller_s_deadline(entry: _Entry) -> None:
+    """A caller that retries before the end of the backoff would be refused again."""
     entry.back_off(*NAMES)
     call = make_call(RESUMABLE, time_left=1_000)
     last = list(entry.forwarder.run(call))[-1]
@@ -145,7 +145,7 @@
     assert last.retry_after > 3_000
 
 
-def test_callers_who_are_refused_together_come_back_apart(entry: _Entry) -> None:
+def test_retry_times_of_callers_refused_together_are_spread(entry: _Entry) -> None:
     entry.back_off(*NAMES)
     ends = [end for _ in range(20) if isinstance(end := entry.run()[1], GaveUp)]
     times = sorted(end.retry_after for end in ends)
@@ -154,9 +154,9 @@
     assert times[-1] - times[0] > 700
 
 
-def test_a_retry_leaves_backends_that_asked_alone() -> None:
+def test_a_retry_avoids_backends_in_backoff() -> None:
     def answer(endpoint: Endpoint) -> Sending:
-        return ASKS if endpoint.id != "b-3" else _Answer(WHOLE)
+        return REFUSAL if endpoint.id != "b-3" else _Answer(WHOLE)
 
     entry = _Entry(answer)
     for _ in range(10):
@@ -165,8 +165,8 @@
     assert entry.port.reached.count("b-3") == 10
 
 
-def test_a_stream_is_not_taken_up_again_at_a_backend_that_asked() -> None:
-    """Its own backend broke off, with a head that asked for nothing; the others ask to back off."""
+def test_a_stream_is_not_resumed_at_a_backend_in_backoff() -> None:
+    """The stream's backend breaks off, and the others ask to back off meanwhile."""
     entry = _Entry(lambda _: _Answer([b"id: 1\ndata: first\n\n"]))
 
     def others_ask(endpoint: Endpoint) -> None:
@@ -177,7 +177,7 @@
     assert len(entry.port.reached) == 1
 
 
-def test_a_backend_that_asks_while_it_is_connected_to_gets_nothing(entry: _Entry) -> None:
+def test_a_backoff_received_while_connecting_prevents_the_request(entry: _Entry) -> None:
     first: list[str] = []
 
     def asks(endpoint: Endpoint) -> None:
@@ -193,9 +193,9 @@
     assert len(call.sent_to) == 1
 
 
-#: Answers that ask to back off, whatever else is in them.
+#: Answers of all kinds that ask to back off.
 ANSWERS: list[tuple[str, Sending]] = [
-    ("a refusal", ASKS),
+    ("a refusal", REFUSAL),
     ("a failure of its own", _Answer(WHOLE, 503, BackendNotice(backoff=3_000))),
     ("a stream that breaks off", _Answer([b"id: 1\n"], notice=BackendNotice(backoff=3_000))),
     ("a whole stream", _Answer(WHOLE, notice=BackendNotice(backoff=3_000))),
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("sending", [case[1] for case in ANSWERS], ids=[c[0] for c in ANSWERS])
-def test_each_answer_is_heard(sending: Sending) -> None:
+def test_notices_in_all_kinds_of_answers_are_applied(sending: Sending) -> None:
     entry = _Entry(lambda _: sending)
     entry.run(replace(RESUMABLE, max_attempts=1))
     asking = entry.port.reached[0]
@@ -212,10 +212,10 @@
     assert entry.port.reached.count(asking) == 1
 
 
-def test_no_retry_is_paid_for_where_no_other_backend_takes_requests() -> None:
-    """The budget is the fleet's: what is paid here for nothing is missing where it would help."""
-    budget = _Entry(lambda _: ASKS).retries_left()
-    entry = _Entry(lambda _: ASKS)
+def test_no_retry_is_spent_if_no_other_backend_takes_requests() -> None:
+    """Guards against wasting the fleet's retry budget on a retry that cannot succeed."""
+    budget = _Entry(lambda _: REFUSAL).retries_left()
+    entry = _Entry(lambda _: REFUSAL)
     entry.back_off(*NAMES[1:])
     _, last = entry.run()
     assert entry.port.reached == ["b-1"]
@@ -226,7 +226,7 @@
 
 
 def silent_call(entry: _Entry, backend: str) -> DirectCall:
-    """Return a stream's call whose backend has said nothing for long, while its group goes on."""
+    """Return a stream's call whose backend is silent while its group makes progress."""
     for endpoint in entry.roster.endpoints():
         entry.roster.learn_group(endpoint.run, "g")
         entry.roster.stream_began(endpoint.run, 100)
@@ -241,8 +241,8 @@
     return call
 
 
-def test_a_stream_is_taken_from_a_silent_backend(entry: _Entry) -> None:
-    budget = _Entry(lambda _: ASKS).retries_left()
+def test_a_stream_is_moved_off_a_silent_backend(entry: _Entry) -> None:
+    budget = _Entry(lambda _: REFUSAL).retries_left()
     call = silent_call(entry, "b-1")
     assert entry.forwarder.give_up_silent(call)
     assert call.slot is not None
@@ -250,15 +250,15 @@
     assert entry.retries_left() == budget - 1
 
 
-def test_a_stream_stays_with_a_silent_backend_where_no_other_takes_requests(entry: _Entry) -> None:
-    """It would have none: what the silent one may still say is all there is."""
+def test_a_stream_stays_with_a_silent_backend_if_no_other_takes_requests(entry: _Entry) -> None:
+    """No other backend could resume the stream."""
     call = silent_call(entry, "b-1")
     entry.back_off("b-2", "b-3")
     assert not entry.forwarder.give_up_silent(call)
 
 
-def test_a_stream_stays_with_a_silent_backend_where_no_retry_is_left(entry: _Entry) -> None:
-    """Ended first, it would get a failure at once in place of a late answer."""
+def test_a_stream_stays_with_a_silent_backend_if_no_retry_is_left(entry: _Entry) -> None:
+    """Ending the stream would turn a late answer into an immediate failure."""
     call = silent_call(entry, "b-1")
     entry.retries_left()
     assert not entry.forwarder.give_up_silent(call)
@@ -266,7 +266,7 @@
     assert not call.slot.is_shut
 
 
-def test_a_stream_stays_with_a_slow_backend_where_no_other_takes_requests() -> None:
+def test_a_stream_stays_with_a_slow_backend_if_no_other_takes_requests() -> None:
     entry = _Entry(lambda _: _Answer([b"id: 1\ndata: a\n\n", b"id: 9\ndata: last\n\n"]))
     for endpoint in entry.roster.endpoints():
         entry.roster.learn_pace(endpoint.run, 12.0)
@@ -275,26 +275,26 @@
     assert [tried.outcome for tried in call.tried] == ["answered"]
 
 
-def test_a_request_that_did_not_get_there_leaves_its_part_of_a_limit() -> None:
+def test_a_request_that_did_not_reach_the_backend_is_refunded() -> None:
     entry = _Entry(lambda _: NotRun(NotRunCause.UNREACHABLE, "timed out"))
     for endpoint in entry.roster.endpoints():
-        word = ToldWord(endpoint.run, endpoint.address, limit=RateWord(0.05))
-        entry.roster.heard_word(word)
+        notice = SharedNotice(endpoint.run, endpoint.address, limit=RateLimit(0.05))
+        entry.roster.heard_word(notice)
     entry.clock.advance(20_000)
     entry.run()
     assert sorted(entry.port.reached) == sorted(NAMES)
     assert entry.roster.wait_left("ink") == 0
 
 
-def test_a_word_that_cannot_be_read_is_logged_once_and_counted_each_time() -> None:
+def test_an_unreadable_notice_is_logged_once_and_counted_each_time() -> None:
     entry = _Entry(lambda _: _Answer(WHOLE))
     metrics = DirectMetrics()
-    keeper = WordKeeper(entry.roster, metrics, lambda _told: None)
+    handler = NoticeHandler(entry.roster, metrics, lambda _notice: None)
     endpoint = entry.roster.endpoints()[0]
     notice = BackendNotice(unreadable=(UnreadableField("backoff", "soon"),))
-    with logbook.TestHandler() as handler:
+    with logbook.TestHandler() as log:
         for _ in range(3):
-            keeper.took(endpoint, notice)
-    assert sum("unreadable word" in record.message for record in handler.records) == 1
+            handler.handle(endpoint, notice)
+    assert sum("unreadable word" in record.message for record in log.records) == 1
     assert 'canvasyoke_unreadable_words_total{field="backoff"} 3' in metrics.all.render()
     assert entry.roster.may_send(endpoint)
--- a/src/canvasyoke/direct/tests/test_list_age.py
+++ b/src/canvasyoke/direct/tests/test_list_age.py
@@ -1,4 +1,4 @@
-"""How old an entry's list of backends is, by the store's word and by other entries'."""
+"""The age of an entry's list of backends, as confirmed by the store and by other entries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from canvasyoke.state import Endpoint, EndpointState
 
 
-def test_a_choice_tells_on_what_it_was_made() -> None:
+def test_a_choice_reports_the_age_of_its_list() -> None:
     clock = ManualClock(start=10_000)
     roster = Roster("nbo-a", clock, random.Random(1))
     ready = Endpoint("a", "ink", "127.0.0.1:1", "nbo-a", 6, EndpointState.READY, 4)
@@ -28,7 +28,7 @@
     assert (chosen.endpoint.position, chosen.heard_ago, chosen.list_age) == (4, 750, 250)
 
 
-def test_another_entry_confirms_the_list_of_one_without_the_store(
+def test_a_peer_confirms_the_list_of_an_entry_without_store_access(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(_peers, "OverlayLinks", SimLinks)
@@ -37,9 +37,9 @@
     for name in fleet.entries:
         fleet.list_at(name)
     fleet.pass_turns(SETTLE_TURNS)
-    told, *others = fleet.entries.values()
+    in_contact, *others = fleet.entries.values()
     before = [entry.roster.list_age for entry in others]
     assert min(before) >= SETTLE_TURNS * TURN
-    told.roster.confirmed()
+    in_contact.roster.confirmed()
     fleet.pass_turns(SETTLE_TURNS // 2)
     assert max(entry.roster.list_age for entry in others) < min(before)
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -14,8 +14,8 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct import _peers
-from canvasyoke.direct._backend_limits import RateWord
-from canvasyoke.direct._backend_words import ToldWord
+from canvasyoke.direct._backend_limits import RateLimit
+from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
 from canvasyoke.protocol import BackendNews
 from canvasyoke.state import EndpointState, Note
@@ -132,7 +132,7 @@
         fleet.open("front-0-1", "front-0-0")
         fleet.pass_turns(4)
     gc.collect()
-    assert len(entry.peers._backends._caught_up) <= len(entry.links.open)
+    assert len(entry.peers._backends._synced) <= len(entry.links.open)
 
 
 def test_a_group_is_learned_from_one_entry_by_all() -> None:
@@ -149,7 +149,7 @@
     entry = fleet.entries[name]
     endpoint = next((e for e in entry.roster.endpoints() if e.id == backend), None)
     if endpoint is not None and entry.roster.took_notice(endpoint, LEAVES).leaves:
-        entry.peers.tell_word(ToldWord(endpoint.run, endpoint.address, is_leaving=True))
+        entry.peers.tell_word(SharedNotice(endpoint.run, endpoint.address, is_leaving=True))
 
 
 def test_a_backend_s_word_reaches_ninety_nine_entries_in_few_hops() -> None:
@@ -187,15 +187,15 @@
     busy, *others = fleet.entries.values()
     for _ in range(20):
         busy.peers._budget.saw_request("ink")
-    assert busy.peers._shares.share("ink").part < 0.3, "nothing is told without a limit"
-    busy.roster.heard_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
-    busy.peers.tell_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
+    assert busy.peers._shares.share("ink").fraction < 0.3, "nothing is told without a limit"
+    busy.roster.heard_word(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
+    busy.peers.tell_word(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
     for _ in range(SETTLE_TURNS):
         busy.peers._budget.saw_request("ink")
         fleet.pass_turns(1)
     assert all(entry.roster.has_limits for entry in others)
-    assert busy.peers._shares.share("ink").part > 0.9
-    assert all(entry.peers._shares.share("ink").part < 0.05 for entry in others)
+    assert busy.peers._shares.share("ink").fraction > 0.9
+    assert all(entry.peers._shares.share("ink").fraction < 0.05 for entry in others)
 
 
 def test_a_limit_taken_back_is_known_to_all() -> None:
@@ -203,7 +203,7 @@
     entry = next(iter(fleet.entries.values()))
     for rate, holds in ((7.0, True), (None, False)):
         fleet.clock.advance(10)
-        told = ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(rate))
+        told = SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(rate))
         entry.roster.heard_word(told)
         entry.peers.tell_word(told)
         fleet.pass_turns(SETTLE_TURNS)
