--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -23,7 +23,6 @@
 )
 from canvasyoke.direct._admission import NO_LIMIT
 from canvasyoke.direct._answer_relay import AnswerRelay
-from canvasyoke.direct._break_examiner import BackendFate, BreakExaminer
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._call import (
     AnswerEnd,
@@ -35,6 +34,7 @@
     Tried,
 )
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._crash_detector import BackendFate, BreakExaminer
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._refusals import LEAST_TIME, Refusals
 from canvasyoke.direct._retries import Retries
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -11,10 +11,10 @@
 from canvasyoke._clock import SECOND, Clock, SystemClock
 from canvasyoke.backend import DIRECT_BACKENDS
 from canvasyoke.direct._admin import EntryAdmin
-from canvasyoke.direct._break_examiner import BreakExaminer
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._caller_port import CALLER_PORTS
 from canvasyoke.direct._callers import MAX_HELD, DirectCallers
+from canvasyoke.direct._crash_detector import BreakExaminer
 from canvasyoke.direct._domains import DomainProber
 from canvasyoke.direct._endpoint_follower import EndpointFollower
 from canvasyoke.direct._forwarder import Forwarder
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -7,9 +7,9 @@
 
 from canvasyoke._clock import Clock
 from canvasyoke.backend import DirectBackendPort, OutboundRequest, Sending
-from canvasyoke.direct._break_examiner import BreakExaminer
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._call import DirectCall
+from canvasyoke.direct._crash_detector import BreakExaminer
 from canvasyoke.direct._forwarder import Forwarder
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._quarantine import Quarantine
--- a/src/canvasyoke/direct/tests/test_break_examiner.py
+++ b/src/canvasyoke/direct/tests/test_crash_detector.py
@@ -8,7 +8,7 @@
 import pytest
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.direct._break_examiner import BackendFate, BreakExaminer
+from canvasyoke.direct._crash_detector import BackendFate, BreakExaminer
 from canvasyoke.direct._fingerprint import fingerprint
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._roster import Roster
