--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/need_model.py
@@ -17,11 +17,11 @@
 from canvasyoke.backend import BackendNotice, NotRun, NotRunCause
 from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
-from canvasyoke.direct._call import DirectCall, GaveUp, Tried
+from canvasyoke.direct._call import Attempt, DirectCall, ErrorAnswer
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._peer_loads import ToldLoad
-from canvasyoke.direct._refusals import Refusals
+from canvasyoke.direct._refusals import RefusalPolicy
 from canvasyoke.direct._roster import FleetView, Roster
 from canvasyoke.direct.tests.calls import ROUTE, make_call
 from canvasyoke.membership import is_mesh
@@ -113,10 +113,10 @@
         self.roster.set_fleet(FleetView(scenario.entries, name, near, is_mesh(scenario.entries)))
         self.budget = FleetRetryBudget(RetryAllowance(0.2, 92, 10 * SECOND), simulation.clock)
         self.budget.entries = scenario.entries
-        self.shares = DemandShares(self.budget.demand, simulation.clock)
+        self.shares = DemandShares(self.budget.request_rate, simulation.clock)
         self.shares.set_fleet(scenario.entries, is_mesh(scenario.entries))
         self.roster.set_share(self.shares.share)
-        self.refusals = Refusals(self.roster, simulation.clock, rng)
+        self.refusals = RefusalPolicy(self.roster, simulation.clock, rng)
 
 
 class BackoffSimulation:
@@ -163,7 +163,7 @@
     def _load_reports(self, entry: _Entry) -> Callable[[], None]:
         def report() -> None:
             load = ToldLoad(self.clock.now(), entry.roster.own_load())
-            demands = {_SERVICE: entry.budget.demand(_SERVICE)}
+            demands = {_SERVICE: entry.budget.request_rate(_SERVICE)}
             self._broadcast(entry, lambda other: other.roster.peer_load(entry.name, load))
             self._broadcast(entry, lambda other: other.shares.report_demand(entry.name, demands))
             self._schedule(_REPORT_INTERVAL, report)
@@ -179,15 +179,15 @@
         def arrive() -> None:
             self._schedule_arrival()
             call = make_call(ROUTE, self.scenario.time_left)
-            call.began = self.clock.now()
-            call.deadline = call.began + self.scenario.time_left
+            call.arrived_at = self.clock.now()
+            call.deadline = call.arrived_at + self.scenario.time_left
             self._submit(call, is_retry=False)
 
         self._schedule(self.rng.expovariate(self.scenario.rate / SECOND), arrive)
 
     def _submit(self, call: DirectCall, is_retry: bool) -> None:
         entry = self.rng.choices(self.entries, self.weights)[0]
-        entry.budget.saw_request(_SERVICE)
+        entry.budget.record_request(_SERVICE)
         self._choose(entry, call, frozenset(), is_retry)
 
     def _choose(
@@ -223,7 +223,7 @@
         def refused() -> None:
             change = entry.roster.took_notice(backend.endpoint, notice)
             entry.roster.refused(backend.endpoint.run, _REFUSAL_PAUSE)
-            call.tried.append(Tried(chosen, "refused", 2 * _BACKEND_DELAY))
+            call.attempts.append(Attempt(chosen, "refused", 2 * _BACKEND_DELAY))
             if change.backoff and self.scenario.shares_notices:
                 shared = SharedNotice(
                     backend.endpoint.run, backend.endpoint.address, change.backoff
@@ -277,8 +277,8 @@
             self.result.refused_twice += 1
             return
         self.result.refused += 1
-        last = entry.refusals.give_up(call, "", cause)
-        assert isinstance(last, GaveUp)
+        last = entry.refusals.final_answer(call, "", cause)
+        assert isinstance(last, ErrorAnswer)
         self._schedule(last.retry_after, lambda: self._submit(call, is_retry=True))
 
     def _serve(self, entry: _Entry, backend: _Backend) -> None:
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -23,7 +23,7 @@
 from canvasyoke.direct._backend_limits import RateLimit
 from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
-from canvasyoke.direct._call import DirectCall, GaveUp
+from canvasyoke.direct._call import DirectCall, ErrorAnswer
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct._word_keeper import NoticeHandler
@@ -75,9 +75,9 @@
         self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
     ) -> Sending:
         self.on_connect(endpoint)
-        why_not = slot.hold(None)
-        if why_not:
-            return NotRun(NotRunCause.WITHDRAWN, why_not)
+        denial_reason = slot.hold(None)
+        if denial_reason:
+            return NotRun(NotRunCause.WITHDRAWN, denial_reason)
         self.reached.append(endpoint.id)
         return self._answer(endpoint)
 
@@ -103,7 +103,7 @@
 
     def run(self, route: TableRoute = RESUMABLE) -> tuple[DirectCall, object]:
         call = make_call(route)
-        call.began = self.clock.now()
+        call.arrived_at = self.clock.now()
         call.deadline = self.clock.now() + 8_000
         return call, list(self.forwarder.run(call))[-1]
 
@@ -129,7 +129,7 @@
     entry.clock.advance(1_000)
     call, last = entry.run()
     assert entry.port.reached == []
-    assert isinstance(last, GaveUp)
+    assert isinstance(last, ErrorAnswer)
     assert last.status == 503
     assert 2_000 < last.retry_after <= 3_000
     assert last.detail == "no backend can take it: backoff for 2000 ms more"
@@ -141,13 +141,13 @@
     entry.back_off(*NAMES)
     call = make_call(RESUMABLE, time_left=1_000)
     last = list(entry.forwarder.run(call))[-1]
-    assert isinstance(last, GaveUp)
+    assert isinstance(last, ErrorAnswer)
     assert last.retry_after > 3_000
 
 
 def test_retry_times_of_callers_refused_together_are_spread(entry: _Entry) -> None:
     entry.back_off(*NAMES)
-    ends = [end for _ in range(20) if isinstance(end := entry.run()[1], GaveUp)]
+    ends = [end for _ in range(20) if isinstance(end := entry.run()[1], ErrorAnswer)]
     times = sorted(end.retry_after for end in ends)
     assert times[0] > 3_000
     assert len(set(times)) > 10
@@ -189,7 +189,7 @@
     call, _ = entry.run()
     assert len(entry.port.reached) == 1
     assert first[0] not in entry.port.reached
-    assert [tried.outcome for tried in call.tried][1:] == ["answered"]
+    assert [tried.outcome for tried in call.attempts][1:] == ["answered"]
     assert len(call.sent_to) == 1
 
 
@@ -219,7 +219,7 @@
     entry.back_off(*NAMES[1:])
     _, last = entry.run()
     assert entry.port.reached == ["b-1"]
-    assert isinstance(last, GaveUp)
+    assert isinstance(last, ErrorAnswer)
     assert last.detail == "refused with status 503; no retry: no other backend takes requests"
     assert last.retry_after > 3_000
     assert entry.retries_left() == budget
@@ -244,7 +244,7 @@
 def test_a_stream_is_moved_off_a_silent_backend(entry: _Entry) -> None:
     budget = _Entry(lambda _: REFUSAL).retries_left()
     call = silent_call(entry, "b-1")
-    assert entry.forwarder.give_up_silent(call)
+    assert entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
     assert call.slot.is_shut
     assert entry.retries_left() == budget - 1
@@ -254,14 +254,14 @@
     """No other backend could resume the stream."""
     call = silent_call(entry, "b-1")
     entry.back_off("b-2", "b-3")
-    assert not entry.forwarder.give_up_silent(call)
+    assert not entry.forwarder.close_if_unresponsive(call)
 
 
 def test_a_stream_stays_with_a_silent_backend_if_no_retry_is_left(entry: _Entry) -> None:
     """Ending the stream would turn a late answer into an immediate failure."""
     call = silent_call(entry, "b-1")
     entry.retries_left()
-    assert not entry.forwarder.give_up_silent(call)
+    assert not entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
     assert not call.slot.is_shut
 
@@ -272,7 +272,7 @@
         entry.roster.learn_pace(endpoint.run, 12.0)
     entry.back_off(*NAMES[1:])
     call, _ = entry.run()
-    assert [tried.outcome for tried in call.tried] == ["answered"]
+    assert [tried.outcome for tried in call.attempts] == ["answered"]
 
 
 def test_a_request_that_did_not_reach_the_backend_is_refunded() -> None:
