--- a/src/canvasyoke/direct/_admission.py
+++ b/src/canvasyoke/direct/_admission.py
@@ -1,9 +1,7 @@
-"""Whether a request is sent to a backend at all, or turned away at once.
+"""Admission control: decides whether to send a request or to reject it at once.
 
-A backend's queue keeps its slots busy, and what is longer than that only makes every
-request in it late: callers give a stream up after two seconds without an event, and the
-work done for it until then is lost to the others. A request that would wait too long is
-refused while it certainly has not run, and told when to come back.
+A long backend queue delays every request in it, and callers abandon streams that start late.
+A request that would wait too long is rejected before it runs, with a time to retry after.
 """
 
 from __future__ import annotations
@@ -14,31 +12,31 @@
 from canvasyoke._registry import Registry
 from canvasyoke.coordination import Candidate
 
-#: Stands for a request that may wait as long as it takes.
+#: Maximum wait of a request that may wait indefinitely.
 NO_LIMIT: Final = 1 << 40
 
-#: Tells whether the best backend for a request should get it, from what is known of the
-#: backend, the mean time of a request there, and the longest wait that makes sense.
+#: Returns whether to send a request, given the best candidate, the mean request duration in
+#: milliseconds and the longest acceptable wait.
 Admission: TypeAlias = Callable[[Candidate, float, int], bool]
 
-#: Rules by name.
+#: Admission rules by name.
 ADMISSIONS: Registry[Admission] = Registry("admission rule")
 
 
 @ADMISSIONS.register("open")
-def admit_all(best: Candidate, duration: float, patience: int) -> bool:
-    """Send every request; the backends' own queues decide. A baseline."""
+def admit_all(best: Candidate, duration: float, max_wait: int) -> bool:
+    """Admit every request and leave queueing to the backends."""
     return True
 
 
 @ADMISSIONS.register("short_queue")
-def admit_short_queue(best: Candidate, duration: float, patience: int) -> bool:
-    """Send a request if the wait for a slot is expected to be short enough."""
-    return expected_wait(best, duration) <= patience
+def admit_short_queue(best: Candidate, duration: float, max_wait: int) -> bool:
+    """Admit a request if the expected wait for a slot is within ``max_wait``."""
+    return expected_wait(best, duration) <= max_wait
 
 
 def expected_wait(candidate: Candidate, duration: float) -> float:
-    """Return the milliseconds until a new request there would have a slot."""
+    """Return the expected wait of a new request for a slot, in milliseconds."""
     slots = max(1, candidate.slots)
     ahead = candidate.load + 1 - slots
     return max(0, ahead) * duration / slots
--- a/src/canvasyoke/direct/_answer_relay.py
+++ b/src/canvasyoke/direct/_answer_relay.py
@@ -76,10 +76,10 @@
                 for event in cutter.feed(piece):
                     now = self._clock.now()
                     if heard_at:
-                        self._roster.stream_heard(backend, now - heard_at)
+                        self._roster.record_stream_event(backend, now - heard_at)
                     else:
                         call.has_begun = True
-                        self._roster.stream_began(backend, now - call.sent_at)
+                        self._roster.record_stream_start(backend, now - call.sent_at)
                     heard_at = now
                     number = event_id(event)
                     if not is_after(number, call.last_event):
@@ -97,7 +97,7 @@
             return MayHaveRun(f"the stream broke off: {exc}", is_broken=not exc.is_late)
         finally:
             if heard_at:
-                self._roster.stream_ended(backend)
+                self._roster.record_stream_end(backend)
         if cutter.has_rest:
             return MayHaveRun("the stream ended within an event", is_broken=True)
         if not call.delivered:
--- a/src/canvasyoke/direct/_backend_standing.py
+++ b/src/canvasyoke/direct/_backend_availability.py
@@ -1,4 +1,4 @@
-"""Which backends take requests now, by their own word and by what was seen of them."""
+"""Availability of backends, from their own notices and from observation."""
 
 from __future__ import annotations
 
@@ -15,75 +15,74 @@
 
 
 @dataclass(slots=True)
-class BackendStanding(BackendStreams):
-    """Records of backends, with what they say of themselves."""
+class BackendAvailability(BackendStreams):
+    """Backend records with the notices that backends send about themselves."""
 
-    def took_notice(self, endpoint: Endpoint, notice: BackendNotice) -> WordChange:
-        """Take what a backend says of itself in an answer, whatever the answer is."""
+    def record_notice(self, endpoint: Endpoint, notice: BackendNotice) -> WordChange:
+        """Apply the notice in a backend's response, whatever the outcome of the request."""
         with self._lock:
             member = self._members.get(endpoint.run)
             if member is not None and notice.load is not None:
-                # The request that the answer belongs to may or may not be counted in it.
+                # The reported load may or may not include the request being answered.
                 total = notice.load.running + notice.load.waiting
-                member.others = max(0, total - member.own)
+                member.peer_requests = max(0, total - member.own_requests)
                 member.reported_at = self.clock.now()
             return self._words.took(endpoint, notice)
 
-    def heard_word(self, told: ToldWord) -> bool:
-        """Take what a backend has said to another entry; false if it is no news."""
+    def merge_peer_notice(self, notice: ToldWord) -> bool:
+        """Apply a backend's notice relayed by another entry; return whether it is new."""
         with self._lock:
-            return self._words.heard(told)
+            return self._words.heard(notice)
 
-    def words_to_tell(self) -> list[ToldWord]:
-        """Return all words of listed backends that still hold."""
+    def notices_to_share(self) -> list[ToldWord]:
+        """Return the notices of listed backends that are still in force."""
         with self._lock:
-            told = (self._words.to_tell(m.endpoint) for m in self._members.values())
-            return [word for word in told if word is not None]
+            notices = (self._words.to_tell(m.endpoint) for m in self._members.values())
+            return [notice for notice in notices if notice is not None]
 
     def set_share(self, share: Callable[[str], Share]) -> None:
-        """Let parts of limits be worked out by ``share``, by service."""
+        """Set the function that returns this entry's share of rate limits, by service."""
         with self._lock:
             self._words.limits.share = share
 
     @property
     def has_limits(self) -> bool:
-        """Tell whether any backend names a rate that it takes."""
+        """Return whether any backend has a rate limit."""
         with self._lock:
             return self._words.limits.is_any
 
     def services(self) -> frozenset[str]:
-        """Return the services of all backends known."""
+        """Return the services of all known backends."""
         with self._lock:
             return frozenset(member.endpoint.service for member in self._members.values())
 
     def may_send(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend that was chosen may still get its request.
+        """Return whether a chosen backend may still be sent its request.
 
-        It may have asked to back off, left the list or started anew while the connection to it
-        was made.
+        It may have asked for backoff, left the list or restarted while the connection was made.
         """
         with self._lock:
             member = self._members.get(endpoint.run)
             if member is None or member.endpoint.address != endpoint.address:
                 return False
-            # The request has its part of a limit already.
+            # The rate limit is not checked: the request has taken its token already.
             return not self._is_leaving(member) and not self._words.backoff_left(endpoint)
 
-    def wait_left(self, service: str) -> int:
-        """Return the milliseconds until a backend of a service takes requests again.
+    def time_until_available(self, service: str) -> int:
+        """Return the milliseconds until a backend of a service is available.
 
-        0 if one does now, or if none is known that ever will.
+        Returns 0 if one is available now, or if none is listed except leaving ones.
         """
         with self._lock:
             found = [
-                unavailability(self._sources, member)
+                unavailability(self._evidence, member)
                 for member in self._members.values()
                 if member.endpoint.service == service and not self._is_leaving(member)
             ]
             return min((each.wait if each else 0 for each in found), default=0)
 
-    def limited_part(self, service: str) -> float:
-        """Return the requests a second that this entry may send a service's limited backends."""
+    def rate_limit_share(self, service: str) -> float:
+        """Return this entry's requests per second to a service's rate-limited backends."""
         with self._lock:
             return sum(
                 self._words.limit_part(member.endpoint)
@@ -91,8 +90,8 @@
                 if member.endpoint.service == service and not self._is_leaving(member)
             )
 
-    def has_other(self, service: str, tried: frozenset[str]) -> bool:
-        """Tell whether a service has a backend besides those tried that takes requests."""
+    def has_alternative(self, service: str, tried: frozenset[str]) -> bool:
+        """Return whether a service has an available backend that was not tried."""
         with self._lock:
             return any(
                 member.endpoint.service == service
@@ -102,37 +101,36 @@
             )
 
     def is_ready(self, run: str) -> bool:
-        """Tell whether a run is listed and has not said that it leaves."""
+        """Return whether a run is listed and not leaving."""
         with self._lock:
             member = self._members.get(run)
             return member is not None and not self._is_leaving(member)
 
     @property
-    def backing_off(self) -> int:
-        """Return how many backends want nothing from this entry now."""
+    def backing_off_count(self) -> int:
+        """Return the number of backends that asked this entry for backoff."""
         with self._lock:
             return self._words.backing_off(member.endpoint for member in self._members.values())
 
     @property
-    def limited(self) -> int:
-        """Return how many backends name a rate that they take."""
+    def rate_limited_count(self) -> int:
+        """Return the number of backends that have a rate limit."""
         with self._lock:
             return sum(1 for m in self._members.values() if self._words.limit_part(m.endpoint) > 0)
 
     @property
-    def leaving(self) -> int:
-        """Return how many backends have said themselves that they leave."""
+    def leaving_count(self) -> int:
+        """Return the number of backends that announced that they are leaving."""
         with self._lock:
             return self._words.leaving(member.endpoint for member in self._members.values())
 
     def _takes_requests(self, member: Member) -> bool:
-        return not self._is_leaving(member) and not unavailability(self._sources, member)
+        return not self._is_leaving(member) and not unavailability(self._evidence, member)
 
     def _is_leaving(self, member: Member) -> bool:
-        """Tell whether a run leaves, by the store's word or by its own.
+        """Return whether a run is leaving, according to the store or to its own notice.
 
-        Its own holds until the run has ended, whatever the store says of it: the entry there
-        may be older, or another's.
+        Its own notice takes precedence until the run ends, since the store may be outdated.
         """
         if member.endpoint.state is EndpointState.LEAVING:
             return True
--- a/src/canvasyoke/direct/_backend_exchange.py
+++ b/src/canvasyoke/direct/_backend_exchange.py
@@ -55,9 +55,9 @@
     def heard_up_to(self, position: int, age: int, session: Session) -> None:
         """Take note of the position up to which another entry knows all backends."""
         now = self._clock.now()
-        if session in self._caught_up and not self._roster.wants_list:
-            self._roster.knows_up_to(position)
-            self._roster.confirmed(age)
+        if session in self._caught_up and not self._roster.needs_list:
+            self._roster.advance_position(position)
+            self._roster.confirm_list(age)
         elif position and now - self._listed_at >= _LIST_AGAIN:
             self._listed_at = now
             session.send(BackendsWanted())
@@ -92,7 +92,7 @@
     def took_news(self, session: Session, news: BackendNews) -> None:
         """Take word of one backend from another entry; pass it on or put it right."""
         change = BackendChange(to_endpoint(news), news.gone, news.revision, news.was_lost)
-        if not self._roster.hear(change):
+        if not self._roster.apply_change(change):
             answer = self._roster.refute(change)
             if answer is not None:
                 session.send(to_news(answer))
--- a/src/canvasyoke/direct/_backend_health.py
+++ b/src/canvasyoke/direct/_backend_health.py
@@ -1,8 +1,7 @@
-"""Which backends hold up others or say nothing, as far as an entry has seen or was told.
+"""Detection of slow and unresponsive backends.
 
-Both show in a rank group only from the outside of one engine: all ranks make their steps
-together, so a slow one makes every stream late, and one that takes requests without
-answering looks idle while the others are busy.
+The ranks of a group run in lockstep, so a slow rank delays every stream of the group, and a
+rank that accepts requests without answering looks idle.
 """
 
 from __future__ import annotations
@@ -12,97 +11,95 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: Milliseconds for which a backend is passed over that takes requests and says nothing
-#: although its group makes steps. Each look at it costs a caller half a second.
-_SILENT_PAUSE: Final = 5 * SECOND
-#: Milliseconds without the first event of a stream after which a backend counts as
-#: silent: so many times the usual, and no less than the second figure. Of streams at
-#: engines that answered, one in a hundred began after 540 ms, at a mean of 190.
-_SILENT_TIMES: Final = 4.0
-_SILENT_LEAST: Final = 600
-#: Milliseconds for which word of a backend's pace holds, and after which the same word is
-#: news again.
-_PACE_AGE: Final = 3 * SECOND
-_PACE_AGAIN: Final = 500
-#: Times that a backend takes for the same work from which on its streams go on elsewhere.
-#: Each of them holds up all steps of the group until it ends; moved, it waits for its
-#: prompt to be read once more.
-_CRAWLING: Final = 3.0
-#: Part of a new wait for a first event in the running mean.
-_WAIT_WEIGHT: Final = 0.2
+#: Milliseconds for which a backend is avoided that does not answer although its group is
+#: making progress.
+_UNRESPONSIVE_COOLDOWN: Final = 5 * SECOND
+#: The first event of a stream is overdue after this multiple of the mean wait, and no
+#: earlier than the minimum in milliseconds.
+_OVERDUE_FACTOR: Final = 4.0
+_MIN_OVERDUE_WAIT: Final = 600
+#: Milliseconds for which a reported pace is valid, and after which an unchanged pace is
+#: reported again.
+_PACE_TTL: Final = 3 * SECOND
+_PACE_REPEAT_INTERVAL: Final = 500
+#: Slowdown factor from which a backend's streams are moved to another backend. Moving a
+#: stream costs a second prefill, but a very slow rank delays the whole group.
+_MIGRATION_PACE: Final = 3.0
+#: Weight of a new sample in the moving average of waits for the first event.
+_FIRST_WAIT_WEIGHT: Final = 0.2
 
 
 @dataclass(slots=True)
 class _Health:
-    #: How many times as long as usual it takes for its work, and when that was told.
+    #: Slowdown factor, 1 for normal speed, and the time at which it was reported.
     pace: float = 1.0
-    told_at: int = 0
-    #: Time on the clock of the last event of a stream from it.
-    heard_at: int = 0
-    #: Time on the clock until which it is known to say nothing.
-    silent_until: int = 0
+    pace_updated_at: int = 0
+    #: Time of the last stream event from the backend.
+    last_event_at: int = 0
+    #: Time until which the backend is considered unresponsive.
+    unresponsive_until: int = 0
 
 
 class BackendHealth:
-    """Not thread-safe, the roster guards it."""
+    """Pace and responsiveness of each backend; not thread-safe, guarded by the roster's lock."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._known: dict[str, _Health] = {}
-        #: Running mean of the milliseconds to the first event of a stream, by service.
+        self._records: dict[str, _Health] = {}
+        #: Moving average of the milliseconds to the first event of a stream, by service.
         self._first_waits: dict[str, float] = {}
 
     def forget(self, backend: str) -> None:
-        """Forget a backend that has gone."""
-        self._known.pop(backend, None)
+        """Remove the record of a backend."""
+        self._records.pop(backend, None)
 
     def pace(self, backend: str) -> float:
-        """Return how many times as long as usual it takes for its work, as far as is known."""
-        health = self._known.get(backend)
-        if health is None or self._clock.now() - health.told_at >= _PACE_AGE:
+        """Return the slowdown factor of a backend; 1 if unknown or expired."""
+        health = self._records.get(backend)
+        if health is None or self._clock.now() - health.pace_updated_at >= _PACE_TTL:
             return 1.0
         return health.pace
 
-    def crawls(self, backend: str) -> bool:
-        """Tell whether a backend is so slow that its streams had better go on elsewhere."""
-        return self.pace(backend) >= _CRAWLING
+    def should_migrate_streams(self, backend: str) -> bool:
+        """Return whether a backend is so slow that its streams should move to another one."""
+        return self.pace(backend) >= _MIGRATION_PACE
 
     def learn_pace(self, backend: str, pace: float) -> bool:
-        """Take note of how long a backend takes for its work; false if that is no news."""
-        health = self._known.setdefault(backend, _Health())
+        """Store a backend's slowdown factor; return whether to report it to other entries."""
+        health = self._records.setdefault(backend, _Health())
         now = self._clock.now()
-        is_news = pace != health.pace or now - health.told_at > _PACE_AGAIN
-        health.pace, health.told_at = pace, now
-        return is_news
+        is_new = pace != health.pace or now - health.pace_updated_at > _PACE_REPEAT_INTERVAL
+        health.pace, health.pace_updated_at = pace, now
+        return is_new
 
-    def heard(self, backend: str) -> None:
-        """Take note of an event of a stream."""
-        self._known.setdefault(backend, _Health()).heard_at = self._clock.now()
+    def record_event(self, backend: str) -> None:
+        """Record an event of a stream."""
+        self._records.setdefault(backend, _Health()).last_event_at = self._clock.now()
 
-    def began(self, backend: str, service: str, waited: int) -> None:
-        """Take note of the first event of a stream, after a wait for it."""
-        self.heard(backend)
-        usual = self._first_waits.get(service, float(waited))
-        self._first_waits[service] = usual + _WAIT_WEIGHT * (waited - usual)
+    def record_first_event(self, backend: str, service: str, waited: int) -> None:
+        """Record the first event of a stream, ``waited`` milliseconds after its request."""
+        self.record_event(backend)
+        mean = self._first_waits.get(service, float(waited))
+        self._first_waits[service] = mean + _FIRST_WAIT_WEIGHT * (waited - mean)
 
     def is_overdue(self, backend: str, service: str, waited: int) -> bool:
-        """Tell whether the first event of a stream is overdue, and nothing else came since."""
-        usual = self._first_waits.get(service)
-        if usual is None or waited <= max(_SILENT_LEAST, _SILENT_TIMES * usual):
+        """Return whether a first event is overdue and no other stream had an event meanwhile."""
+        mean = self._first_waits.get(service)
+        if mean is None or waited <= max(_MIN_OVERDUE_WAIT, _OVERDUE_FACTOR * mean):
             return False
-        health = self._known.get(backend)
-        return health is None or self._clock.now() - health.heard_at > waited
+        health = self._records.get(backend)
+        return health is None or self._clock.now() - health.last_event_at > waited
 
-    def fell_silent(self, backend: str) -> bool:
-        """Take note that a backend says nothing; false if that is known."""
-        health = self._known.setdefault(backend, _Health())
+    def mark_unresponsive(self, backend: str) -> bool:
+        """Mark a backend as unresponsive; return false if it already is."""
+        health = self._records.setdefault(backend, _Health())
         now = self._clock.now()
-        if now < health.silent_until:
+        if now < health.unresponsive_until:
             return False
-        health.silent_until = now + _SILENT_PAUSE
+        health.unresponsive_until = now + _UNRESPONSIVE_COOLDOWN
         return True
 
-    def is_silent(self, backend: str) -> bool:
-        """Tell whether a backend is known to say nothing."""
-        health = self._known.get(backend)
-        return health is not None and self._clock.now() < health.silent_until
+    def is_unresponsive(self, backend: str) -> bool:
+        """Return whether a backend is marked as unresponsive."""
+        health = self._records.get(backend)
+        return health is not None and self._clock.now() < health.unresponsive_until
--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -1,6 +1,7 @@
-"""What an entry keeps of each backend, and how word of them comes and goes.
+"""An entry's records of backends and the changes that update them.
 
-The list comes from the store and from other entries; requests under way are counted here.
+The list of backends comes from the store and from other entries; in-flight requests are
+counted locally.
 """
 
 from __future__ import annotations
@@ -16,70 +17,69 @@
 from canvasyoke.direct._backend_health import BackendHealth
 from canvasyoke.direct._backend_limits import BackendLimits
 from canvasyoke.direct._backend_words import BackendWords
-from canvasyoke.direct._domains import DomainReach
+from canvasyoke.direct._domains import DomainReachability
 from canvasyoke.direct._groups import RankGroups
-from canvasyoke.direct._home_share import deal_home_share
+from canvasyoke.direct._home_share import assign_home_share
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
 from canvasyoke.direct._member import Member
-from canvasyoke.direct._pass_over import Sources
+from canvasyoke.direct._pass_over import BackendEvidence
 from canvasyoke.direct._peer_loads import PeerLoads, ToldLoad
 from canvasyoke.direct._store_return import StoreReturn
 from canvasyoke.state import Endpoint, StorePosition
 
-#: Milliseconds over which a report of load fades to nothing: requests of others that it
-#: counted have ended by then, and new ones have come that it does not know.
-_REPORT_FADES: Final = 2 * SECOND
-#: Least milliseconds by which another entry's word of the list must be fresher than what
-#: is known here: entries that hear each other's echo would find the list younger by the
-#: time on the link with each of them, and never see that nobody has the store.
-_CONFIRM_STEP: Final = 200
+#: Milliseconds over which the weight of a load report decays linearly to zero.
+_REPORT_DECAY: Final = 2 * SECOND
+#: Milliseconds by which another entry's confirmation of the list must be newer than the last
+#: one. Without this threshold entries would keep confirming each other's list, and none
+#: would notice that the store is unavailable to all.
+_MIN_CONFIRMATION_STEP: Final = 200
 _RANKER: Final = "sampled_paced"
-#: In a fleet too large for all entries to tell each other their loads.
-_FLEET_RANKER: Final = "near_paced"
+#: Used where the fleet is too large for all entries to exchange their loads.
+_LARGE_FLEET_RANKER: Final = "near_paced"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The entries that choose among the same backends, as far as they are known."""
+    """The known entries that share the same backends."""
 
-    #: All of them, this one included.
+    #: Number of entries, including this one.
     entries: int = 1
-    #: Names of this entry, and of the others in its failure domain.
-    own: str = ""
-    near: frozenset[str] = frozenset()
-    #: Whether each entry hears the load of all others, or only of its own domain's.
-    hears_all: bool = True
+    #: Names of this entry and of the other entries in its failure domain.
+    name: str = ""
+    domain_peers: frozenset[str] = frozenset()
+    #: Whether entries exchange loads with all others or only within their domain.
+    is_full_mesh: bool = True
 
 
 @dataclass(slots=True)
 class BackendRecords:
-    """All backends known; thread-safe."""
+    """Records of all known backends; thread-safe."""
 
     domain: str
     clock: Clock
     rng: random.Random
     _fleet: FleetView = FleetView()
-    #: Backends that were dealt to this entry.
-    _home: frozenset[str] = frozenset()
+    #: Backends assigned to this entry as its home share.
+    _home_share: frozenset[str] = frozenset()
     _groups: RankGroups = field(init=False)
     _health: BackendHealth = field(init=False)
     _words: BackendWords = field(init=False)
-    #: What speaks for and against a backend.
-    _sources: Sources = field(init=False)
+    #: Input of the availability checks.
+    _evidence: BackendEvidence = field(init=False)
     _ranker: Ranker = field(init=False)
-    _domains: DomainReach = field(default_factory=DomainReach)
-    #: Whether the entry has found itself cut off from all that could serve its callers.
+    _domains: DomainReachability = field(default_factory=DomainReachability)
+    #: Whether no backend that this entry can reach serves its callers.
     _is_isolated: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
     _known: KnownBackends = field(init=False)
-    #: By run, and the run by the name of the entry.
+    #: Members by run, and runs by endpoint id.
     _members: dict[str, Member] = field(default_factory=dict)
     _runs: dict[str, str] = field(default_factory=dict)
     _peers: PeerLoads = field(default_factory=PeerLoads)
-    #: Time on the clock at which the list was last known to be in step with the store;
-    #: before any list the time at which this was made.
+    #: Time at which the list was last confirmed to match the store; initially the time of
+    #: creation.
     _confirmed_at: int = field(init=False)
-    #: Running mean of the milliseconds that a request takes, by service.
+    #: Moving average of request durations in milliseconds, by service.
     _durations: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -87,41 +87,43 @@
         self._groups = RankGroups(self.clock)
         self._health = BackendHealth(self.clock)
         self._words = BackendWords(self.clock, BackendLimits(self.clock, self.rng))
-        self._sources = Sources(self.clock, self._words, self._health, self._groups, self._domains)
+        self._evidence = BackendEvidence(
+            self.clock, self._words, self._health, self._groups, self._domains
+        )
         self._ranker = RANKERS.get(_RANKER)(self.rng)
         self._confirmed_at = self.clock.now()
 
     @property
     def is_known(self) -> bool:
-        """Tell whether a list has been read."""
+        """Return whether a list has been received."""
         return self._known.is_known
 
     @property
     def position(self) -> StorePosition:
-        """Return the position up to which all is known; 0 before any list."""
+        """Return the position up to which all changes are known; 0 before the first list."""
         return self._known.position
 
     @property
     def era(self) -> int:
-        """Return how many times the store is known to have come back from a copy."""
+        """Return how many times the store is known to have been restored from a copy."""
         return self._known.store_return.era
 
     @property
-    def wants_list(self) -> bool:
-        """Tell whether a list is due that settles what was doubted after a return."""
+    def needs_list(self) -> bool:
+        """Return whether a list is needed to resolve doubted backends after a restore."""
         with self._lock:
             return self._known.store_return.wants_list
 
     @property
     def doubted(self) -> int:
-        """Return the number of backends of which the store's word is not believed."""
+        """Return the number of backends whose state in the store is not trusted."""
         with self._lock:
             return len(self._known.store_return.doubted)
 
     def merge(self, endpoints: Iterable[Endpoint], position: StorePosition) -> list[BackendChange]:
-        """Take another entry's list of a position, and return what it changes."""
+        """Merge another entry's list as of a position and return the changes."""
         with self._lock:
-            return self._follow(self._known.merge(endpoints, position))
+            return self._apply_changes(self._known.merge(endpoints, position))
 
     def merge_from_store(
         self,
@@ -129,56 +131,56 @@
         position: StorePosition,
         keep: frozenset[str] = frozenset(),
     ) -> list[BackendChange]:
-        """Take the store's list of a position; those in ``keep`` stay although it lacks them."""
+        """Merge the store's list as of a position; keep those in ``keep`` even if missing."""
         with self._lock:
-            return self._follow(self._known.merge_from_store(endpoints, position, keep))
+            return self._apply_changes(self._known.merge_from_store(endpoints, position, keep))
 
     def put(self, endpoint: Endpoint) -> list[BackendChange]:
-        """Add or change one backend, and return what that changes."""
+        """Add or update one backend and return the changes."""
         with self._lock:
-            return self._follow(self._known.put(endpoint))
+            return self._apply_changes(self._known.put(endpoint))
 
     def remove(self, endpoint_id: str, position: StorePosition) -> list[BackendChange]:
-        """Forget one backend; requests under way there go on."""
+        """Remove one backend; its in-flight requests continue."""
         with self._lock:
-            return self._follow(self._known.remove(endpoint_id, position))
+            return self._apply_changes(self._known.remove(endpoint_id, position))
 
-    def hear(self, news: BackendChange) -> bool:
-        """Take what another entry learned from the store; false when it is old."""
+    def apply_change(self, change: BackendChange) -> bool:
+        """Apply a change relayed by another entry; return false if it is outdated."""
         with self._lock:
-            is_new = self._known.hear(news)
+            is_new = self._known.hear(change)
             if is_new:
-                self._follow([news])
+                self._apply_changes([change])
             return is_new
 
-    def refute(self, news: BackendChange) -> BackendChange | None:
-        """Return what to answer to old news of a backend that is gone; ``None`` for none."""
+    def refute(self, change: BackendChange) -> BackendChange | None:
+        """Return the reply to an outdated change of a removed backend; ``None`` for none."""
         with self._lock:
-            return self._known.refute(news)
+            return self._known.refute(change)
 
-    def knows_up_to(self, position: StorePosition) -> None:
-        """Take note that all changes up to a position have come."""
+    def advance_position(self, position: StorePosition) -> None:
+        """Record that all changes up to a position were received."""
         with self._lock:
             self._known.knows_up_to(position)
 
-    def confirmed(self, age: int = 0) -> None:
-        """Take note that the list was in step with the store ``age`` milliseconds ago."""
+    def confirm_list(self, age: int = 0) -> None:
+        """Record that the list matched the store ``age`` milliseconds ago."""
         at = self.clock.now() - age
         with self._lock:
-            if age == 0 or at - self._confirmed_at >= _CONFIRM_STEP:
+            if age == 0 or at - self._confirmed_at >= _MIN_CONFIRMATION_STEP:
                 self._confirmed_at = at
 
     @property
     def list_age(self) -> int:
-        """Return for how many milliseconds nobody has told that the list is in step."""
+        """Return the milliseconds since the list was last confirmed to match the store."""
         with self._lock:
             return self._list_age()
 
     def _list_age(self) -> int:
         return self.clock.now() - self._confirmed_at
 
-    def _follow(self, changes: list[BackendChange]) -> list[BackendChange]:
-        """Begin and end to keep what is seen of backends."""
+    def _apply_changes(self, changes: list[BackendChange]) -> list[BackendChange]:
+        """Create, update and remove members for changes of the list."""
         for change in changes:
             endpoint = change.endpoint
             if change.gone or not self._is_same_run(endpoint):
@@ -191,15 +193,15 @@
                 self._runs[endpoint.id] = endpoint.run
                 self._members[endpoint.run] = Member(endpoint, Ejection(self.clock), now)
             else:
-                member.endpoint, member.heard_at = endpoint, now
+                member.endpoint, member.updated_at = endpoint, now
         if changes:
-            self._deal()
+            self._assign_home_share()
         return changes
 
     def _is_same_run(self, endpoint: Endpoint) -> bool:
-        """Tell whether what was seen of a backend is of this run of it.
+        """Return whether the existing record of a backend belongs to the same run.
 
-        A run that does not say when it started is another one at another address.
+        A run without a start time is identified by its address.
         """
         known = self._members.get(self._runs.get(endpoint.id, ""))
         return known is not None and (known.endpoint.run, known.endpoint.address) == (
@@ -215,58 +217,60 @@
             self._health.forget(run)
 
     def set_fleet(self, fleet: FleetView) -> None:
-        """Take note of which entries choose among the same backends."""
+        """Set the entries that share the same backends."""
         with self._lock:
-            if fleet.hears_all != self._fleet.hears_all:
-                name = _RANKER if fleet.hears_all else _FLEET_RANKER
+            if fleet.is_full_mesh != self._fleet.is_full_mesh:
+                name = _RANKER if fleet.is_full_mesh else _LARGE_FLEET_RANKER
                 self._ranker = RANKERS.get(name)(self.rng)
             self._fleet = fleet
-            self._deal()
+            self._assign_home_share()
 
-    def _deal(self) -> None:
-        """Work out which backends are this entry's before all others."""
-        if not self._fleet.hears_all:
+    def _assign_home_share(self) -> None:
+        """Recompute this entry's home share."""
+        if not self._fleet.is_full_mesh:
             endpoints = [member.endpoint for member in self._members.values()]
-            self._home = deal_home_share(self._fleet.own, self.domain, self._fleet.near, endpoints)
+            self._home_share = assign_home_share(
+                self._fleet.name, self.domain, self._fleet.domain_peers, endpoints
+            )
 
-    def peer_load(self, peer: str, load: ToldLoad) -> None:
-        """Take note of another entry's requests under way."""
+    def update_peer_load(self, peer: str, load: ToldLoad) -> None:
+        """Store another entry's in-flight requests."""
         with self._lock:
             self._peers.took(peer, load, self.clock.now())
 
     def unrelayed_loads(self) -> dict[str, ToldLoad]:
-        """Return the other entries' loads that came since the last call."""
+        """Return the loads received from other entries since the last call."""
         with self._lock:
             return self._peers.take_unrelayed()
 
-    def peer_left(self, peer: str) -> None:
-        """Forget another entry's load."""
+    def remove_peer(self, peer: str) -> None:
+        """Remove another entry's load."""
         with self._lock:
             self._peers.left(peer)
 
     def ids(self) -> frozenset[str]:
-        """Return the ids of all backends known."""
+        """Return the ids of all known backends."""
         with self._lock:
             return frozenset(self._runs)
 
     def endpoints(self) -> list[Endpoint]:
-        """Return all backends known."""
+        """Return all known backends."""
         with self._lock:
             return [member.endpoint for member in self._members.values()]
 
     def own_load(self) -> dict[str, int]:
-        """Return this entry's requests under way by backend."""
+        """Return this entry's in-flight requests by backend."""
         with self._lock:
-            return {i: m.own for i, m in self._members.items() if m.own}
+            return {i: m.own_requests for i, m in self._members.items() if m.own_requests}
 
     def _load(self, member: Member) -> int:
-        """Return the requests of all entries at a backend."""
-        return member.own + self._others(member)
-
-    def _others(self, member: Member) -> int:
-        told = self._peers.of(member.endpoint.run)
-        if self._fleet.hears_all and self._peers.entries:
-            return told
-        # Entries of other domains do not tell their load here.
-        fade = max(0.0, 1 - (self.clock.now() - member.reported_at) / _REPORT_FADES)
-        return max(told, round(member.others * fade))
+        """Return the in-flight requests of all entries at a backend."""
+        return member.own_requests + self._peer_requests(member)
+
+    def _peer_requests(self, member: Member) -> int:
+        known = self._peers.of(member.endpoint.run)
+        if self._fleet.is_full_mesh and self._peers.entries:
+            return known
+        # Entries of other domains do not send their load to this entry.
+        weight = max(0.0, 1 - (self.clock.now() - member.reported_at) / _REPORT_DECAY)
+        return max(known, round(member.peer_requests * weight))
--- a/src/canvasyoke/direct/_backend_streams.py
+++ b/src/canvasyoke/direct/_backend_streams.py
@@ -1,4 +1,4 @@
-"""What an entry has seen of backends' groups, paces and streams."""
+"""Observed groups, paces and streams of backends."""
 
 from __future__ import annotations
 
@@ -10,13 +10,12 @@
 
 @dataclass(slots=True)
 class BackendStreams(BackendRecords):
-    """Records of backends, with what streams and other entries tell of them."""
+    """Backend records with state from streams and from other entries."""
 
-    def without_group(self, services: frozenset[str]) -> list[Endpoint]:
-        """Return the backends of ``services`` whose group is not known yet.
+    def with_unknown_group(self, services: frozenset[str]) -> list[Endpoint]:
+        """Return the backends of ``services`` whose group is unknown.
 
-        Those that asked to back off are left out: a question would be a request that they do
-        not want.
+        Backends that asked for backoff are excluded, since a query is a request too.
         """
         with self._lock:
             return [
@@ -28,7 +27,7 @@
             ]
 
     def learn_group(self, run: str, group: str) -> bool:
-        """Take note of a backend's group, empty when it is in none; false if known."""
+        """Store a backend's group, empty for none; return false if it is already known."""
         with self._lock:
             if run not in self._members or self._groups.is_learned(run):
                 return False
@@ -36,35 +35,35 @@
             return True
 
     def groups(self) -> dict[str, str]:
-        """Return the groups learned so far by backend."""
+        """Return the known groups by backend."""
         with self._lock:
             return self._groups.learned()
 
-    def group_broke(self, run: str) -> None:
-        """Take note that the group of a backend has lost a rank."""
+    def record_group_failure(self, run: str) -> None:
+        """Record that a backend's group has lost a rank."""
         with self._lock:
-            self._groups.broke(run)
+            self._groups.record_failure(run)
 
     def learn_pace(self, run: str, pace: float) -> bool:
-        """Take note of how long a backend takes for its work; false if that is no news."""
+        """Store a backend's slowdown factor; return whether to report it to other entries."""
         with self._lock:
             return run in self._members and self._health.learn_pace(run, pace)
 
     def is_slow(self, run: str) -> bool:
-        """Tell whether a backend is known to take longer than it should."""
+        """Return whether a backend is known to be slower than normal."""
         with self._lock:
             return self._health.pace(run) > 1.0
 
-    def crawls(self, run: str) -> bool:
-        """Tell whether a backend is so slow that its streams had better go on elsewhere."""
+    def should_migrate_streams(self, run: str) -> bool:
+        """Return whether a backend is so slow that its streams should move to another one."""
         with self._lock:
-            return self._health.crawls(run)
+            return self._health.should_migrate_streams(run)
 
     def in_slow_groups(self, service: str, longest_pause: int) -> list[Endpoint]:
-        """Return the backends of this domain whose groups pause for longer than they may.
+        """Return this domain's backends in groups that pause longer than ``longest_pause``.
 
-        Those that are known to be slow are among them: they may have recovered. Those
-        that asked to back off are not: they want no question either.
+        Backends known to be slow are included, since they may have recovered. Backends that
+        asked for backoff are excluded, since a query is a request too.
         """
         with self._lock:
             near = [
@@ -77,45 +76,44 @@
             return [
                 e
                 for e in near
-                if self._groups.pause(e.run) > longest_pause or self._health.pace(e.run) > 1.0
+                if self._groups.mean_pause(e.run) > longest_pause or self._health.pace(e.run) > 1.0
             ]
 
-    def fell_silent(self, run: str) -> bool:
-        """Take note that a backend says nothing; false if that is known."""
+    def mark_unresponsive(self, run: str) -> bool:
+        """Mark a backend as unresponsive; return false if it already is."""
         with self._lock:
-            return run in self._members and self._health.fell_silent(run)
+            return run in self._members and self._health.mark_unresponsive(run)
 
     def is_overdue(self, run: str, waited: int) -> bool:
-        """Tell whether a stream has waited for its first event for too long.
+        """Return whether the first event of a stream is overdue.
 
-        That says nothing while the group stands still: then no backend of it answers. Nor
-        does it where the stream may wait for a slot: taken for silent, backends of a crowded
-        group were passed over, and the rest crowded more.
+        Returns false while the whole group is stalled and while the stream may be queued for
+        a slot: neither means that the backend itself is unresponsive.
         """
         with self._lock:
             member = self._members.get(run)
-            if member is None or not self._groups.makes_steps(run):
+            if member is None or not self._groups.is_progressing(run):
                 return False
             if self._load(member) > member.endpoint.slots:
                 return False
             return self._health.is_overdue(run, member.endpoint.service, waited)
 
-    def stream_began(self, run: str, waited: int) -> None:
-        """Take note of the first event of a stream, after a wait for it."""
+    def record_stream_start(self, run: str, waited: int) -> None:
+        """Record the first event of a stream, ``waited`` milliseconds after its request."""
         with self._lock:
-            self._groups.stream_began(run)
+            self._groups.record_stream_start(run)
             member = self._members.get(run)
             if member is not None:
-                self._health.began(run, member.endpoint.service, waited)
+                self._health.record_first_event(run, member.endpoint.service, waited)
 
-    def stream_heard(self, run: str, pause: int) -> None:
-        """Take note of a further event, ``pause`` milliseconds after the one before."""
+    def record_stream_event(self, run: str, pause: int) -> None:
+        """Record a later event, ``pause`` milliseconds after the previous one."""
         with self._lock:
-            self._groups.heard(run, pause)
+            self._groups.record_event(run, pause)
             if run in self._members:
-                self._health.heard(run)
+                self._health.record_event(run)
 
-    def stream_ended(self, run: str) -> None:
-        """Take note that a stream has ended or broken off."""
+    def record_stream_end(self, run: str) -> None:
+        """Record that a stream has ended or was interrupted."""
         with self._lock:
-            self._groups.stream_ended(run)
+            self._groups.record_stream_end(run)
--- a/src/canvasyoke/direct/_call.py
+++ b/src/canvasyoke/direct/_call.py
@@ -84,7 +84,7 @@
         chosen = self.chosen
         return (
             f"{self.run} load={chosen.load} revision={format_position(chosen.endpoint.position)} "
-            f"heard={chosen.heard_ago}ms list={chosen.list_age}ms {self.took}ms {self.outcome}"
+            f"heard={chosen.update_age}ms list={chosen.list_age}ms {self.took}ms {self.outcome}"
             f"{f' ({self.notice})' if str(self.notice) else ''}"
         )
 
--- a/src/canvasyoke/direct/_choice.py
+++ b/src/canvasyoke/direct/_choice.py
@@ -1,4 +1,4 @@
-"""What a request asks of the backends, and what it gets."""
+"""Input and results of backend selection."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """A backend to send a request to."""
+    """The backend selected for a request."""
 
     endpoint: Endpoint
-    #: Requests it was thought to have, for the log.
+    #: Estimated load of the backend, for the log.
     load: int
-    #: Milliseconds since the newest word of it came, and since anybody told that the list
-    #: of backends was in step with the store.
-    heard_ago: int = 0
+    #: Milliseconds since the backend's record was last updated, and since the list of
+    #: backends was last confirmed to match the store.
+    update_age: int = 0
     list_age: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What a request needs of a backend."""
+class BackendQuery:
+    """Requirements that a request has for its backend."""
 
     service: str
-    #: Backends that have been tried.
+    #: Backends that the request was already sent to.
     tried: frozenset[str] = frozenset()
-    #: Longest wait for a slot, in milliseconds, that makes sense.
-    patience: int = NO_LIMIT
+    #: Longest acceptable wait for a slot, in milliseconds.
+    max_wait: int = NO_LIMIT
 
 
 @dataclass(frozen=True, slots=True)
-class NoneAble:
-    """No backend may take a request."""
+class NoneAvailable:
+    """No backend can take the request."""
 
     reason: Reason
-    #: Milliseconds until one takes requests again, where all that are left have said when.
+    #: Milliseconds until a backend is available again; 0 if unknown.
     wait: int = 0
 
     def __str__(self) -> str:
-        """Return what decided, for the log and the caller."""
+        """Return the reason, for the log and the caller."""
         return f"{self.reason} for {self.wait} ms more" if self.wait else str(self.reason)
--- a/src/canvasyoke/direct/_domains.py
+++ b/src/canvasyoke/direct/_domains.py
@@ -1,9 +1,8 @@
-"""Which failure domains an entry cannot reach now.
+"""Detection of failure domains that an entry cannot reach.
 
-A domain that is cut off takes the whole time for a connection from every request that
-is sent there, backend by backend. After failures to connect to several of its backends,
-with no success between, the domain is passed over as a whole, and a task of its own
-tries from time to time whether it is back.
+Every request sent to an unreachable domain waits for a connect timeout per backend. After
+consecutive connect failures to several of its backends a domain is avoided as a whole, and a
+background thread probes it until it is reachable again.
 """
 
 from __future__ import annotations
@@ -16,60 +15,60 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.transport import can_connect
 
-#: Backends of a domain that must have failed to connect before it counts as cut off; one
-#: alone may have crashed.
-_BACKENDS: Final = 2
-#: Milliseconds between tries whether a domain is back, and for one try.
-_TRY_EVERY: Final = 300
-_TRY_TIMEOUT: Final = 150
+#: Backends of a domain that must fail to connect before it is considered unreachable; a single
+#: one may have crashed.
+_MIN_FAILED_BACKENDS: Final = 2
+#: Milliseconds between probes of unreachable domains, and timeout of one probe.
+_PROBE_INTERVAL: Final = 300
+_PROBE_TIMEOUT: Final = 150
 
 
 @dataclass(slots=True)
-class DomainReach:
-    """What connections tell of each domain; not thread-safe, the roster guards it."""
+class DomainReachability:
+    """Reachability of each domain; not thread-safe, guarded by the roster's lock."""
 
-    #: Backends that could not be reached since the domain last was, by domain.
-    _missed: dict[str, set[str]] = field(default_factory=dict)
+    #: Backends that failed to connect since the last success in the domain, by domain.
+    _failed_backends: dict[str, set[str]] = field(default_factory=dict)
 
-    def missed(self, domain: str, backend: str) -> bool:
-        """Take note of a connection that was not made; true when it cuts the domain off."""
-        was_cut = self.is_cut(domain)
-        self._missed.setdefault(domain, set()).add(backend)
-        return self.is_cut(domain) and not was_cut
+    def record_failure(self, domain: str, backend: str) -> bool:
+        """Record a connect failure; return whether the domain became unreachable."""
+        was_unreachable = self.is_unreachable(domain)
+        self._failed_backends.setdefault(domain, set()).add(backend)
+        return self.is_unreachable(domain) and not was_unreachable
 
-    def reached(self, domain: str) -> bool:
-        """Take note of a connection that was made; true when the domain was cut off."""
-        was_cut = self.is_cut(domain)
-        self._missed.pop(domain, None)
-        return was_cut
+    def record_success(self, domain: str) -> bool:
+        """Record a connection; return whether the domain had been unreachable."""
+        was_unreachable = self.is_unreachable(domain)
+        self._failed_backends.pop(domain, None)
+        return was_unreachable
 
-    def is_cut(self, domain: str) -> bool:
-        """Tell whether the domain is out of reach."""
-        return len(self._missed.get(domain, ())) >= _BACKENDS
+    def is_unreachable(self, domain: str) -> bool:
+        """Return whether the domain is unreachable."""
+        return len(self._failed_backends.get(domain, ())) >= _MIN_FAILED_BACKENDS
 
-    def cut(self) -> frozenset[str]:
-        """Return the domains out of reach."""
-        return frozenset(domain for domain in self._missed if self.is_cut(domain))
+    def unreachable(self) -> frozenset[str]:
+        """Return the unreachable domains."""
+        return frozenset(domain for domain in self._failed_backends if self.is_unreachable(domain))
 
 
 class DomainProber:
-    """Tries from time to time whether a domain that is cut off is back."""
+    """Probes unreachable domains periodically."""
 
     def __init__(
-        self, cut_addresses: Callable[[], dict[str, str]], reached: Callable[[str], None]
+        self, probe_addresses: Callable[[], dict[str, str]], on_reachable: Callable[[str], None]
     ) -> None:
-        #: Returns an address to try in each domain that is cut off.
-        self._cut_addresses = cut_addresses
-        self._reached = reached
+        #: Returns an address to probe for each unreachable domain.
+        self._probe_addresses = probe_addresses
+        self._on_reachable = on_reachable
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="domains", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="domains", daemon=True)
 
     def start(self) -> None:
-        """Start trying."""
-        self._task.start()
+        """Start the probing thread."""
+        self._thread.start()
 
     def _run(self) -> None:
-        while not self._stop.wait(_TRY_EVERY / SECOND):
-            for domain, address in self._cut_addresses().items():
-                if can_connect(address, _TRY_TIMEOUT):
-                    self._reached(domain)
+        while not self._stop.wait(_PROBE_INTERVAL / SECOND):
+            for domain, address in self._probe_addresses().items():
+                if can_connect(address, _PROBE_TIMEOUT):
+                    self._on_reachable(domain)
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -82,7 +82,7 @@
                 self._pause(IDLE)
                 continue
             self._contact.resumes()
-            if self._roster.wants_list and self._roster.doubted:
+            if self._roster.needs_list and self._roster.doubted:
                 position = 0
             match self._look(position):
                 case EndpointList() as seen:
@@ -112,7 +112,7 @@
     def _heard(self) -> None:
         """Take note of a usable answer: the list is in step with the store."""
         self._contact.answered()
-        self._roster.confirmed()
+        self._roster.confirm_list()
 
     def _wait_time(self) -> int:
         """Return how long the next watch may wait: no longer than the next held removal."""
@@ -168,7 +168,7 @@
                 case EndpointGone():
                     self._note_unreadable({**self._unreadable, change.id: change.fault})
                     self._forget(change)
-        self._roster.knows_up_to(seen.position)
+        self._roster.advance_position(seen.position)
 
     def _take_entry(self, endpoint: Endpoint) -> None:
         self._held.pop(endpoint.id, None)
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -34,7 +34,7 @@
     Piece,
     Tried,
 )
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._refusals import LEAST_TIME, Refusals
 from canvasyoke.direct._retries import Retries
@@ -92,7 +92,7 @@
                 yield from self._end(call, self._refuse_quarantined(call))
                 return
             chosen = self._choose(call)
-            if isinstance(chosen, NoneAble):
+            if isinstance(chosen, NoneAvailable):
                 detail = f"no backend can take it: {chosen}"
                 yield from self._end(call, self._refusals.give_up(call, detail, chosen))
                 return
@@ -126,14 +126,14 @@
         detail = f"backends ended under this request; quarantined as {call.fingerprint}"
         return BrokeOff(detail) if call.delivered else GaveUp(_BAD_GATEWAY, detail)
 
-    def _choose(self, call: DirectCall) -> Chosen | NoneAble:
+    def _choose(self, call: DirectCall) -> Chosen | NoneAvailable:
         if call.deadline - self._clock.now() < LEAST_TIME:
-            return NoneAble(Reason.DEADLINE)
+            return NoneAvailable(Reason.DEADLINE)
         return self._roster.choose(
-            Wanted(
+            BackendQuery(
                 service=call.service,
                 tried=call.tried_runs,
-                patience=_patience(call),
+                max_wait=_patience(call),
             )
         )
 
@@ -155,7 +155,7 @@
         self._words.took(endpoint, sent.notice)
         self._note_reach(call, endpoint, sent)
         if isinstance(sent, NotRun) and not sent.has_arrived:
-            self._roster.was_not_sent(endpoint.run)
+            self._roster.record_not_sent(endpoint.run)
         else:
             call.sent_to.add(endpoint.run)
         failure: NotRun | MayHaveRun | None
@@ -199,9 +199,9 @@
         if isinstance(sent, MayHaveRun):
             return
         if not isinstance(sent, NotRun) or sent.cause is not NotRunCause.UNREACHABLE:
-            self._roster.domain_reached(endpoint.domain)
+            self._roster.record_connect_success(endpoint.domain)
         elif not call.gone():
-            self._roster.domain_missed(endpoint)
+            self._roster.record_connect_failure(endpoint)
 
     def _outbound(self, call: DirectCall) -> OutboundRequest:
         return OutboundRequest(
@@ -221,24 +221,24 @@
         backend = tried.run
         if isinstance(failure, NotRun) and failure.has_arrived:
             if failure.cause is NotRunCause.MOVED:
-                self._roster.moved(backend)
+                self._roster.record_address_conflict(backend)
             else:
-                self._roster.refused(backend, _FULL_PAUSE)
+                self._roster.record_refusal(backend, _FULL_PAUSE)
         elif (
             _was_withdrawn(failure)
             or call.is_moved
             or call.is_unanswered
             or (failure is not None and call.gone())
         ):
-            self._roster.cancelled(backend)
+            self._roster.record_cancelled(backend)
         else:
-            self._roster.finished(backend, tried.took, failed=failure is not None)
+            self._roster.record_finished(backend, tried.took, failed=failure is not None)
         if isinstance(failure, NotRun) and failure.at_fault not in ("", tried.chosen.endpoint.id):
-            self._roster.group_broke(backend)
+            self._roster.record_group_failure(backend)
         if isinstance(failure, MayHaveRun):
             call.may_have_run = True
             if call.route.is_stream and not _was_ended(call):
-                self._roster.group_broke(backend)
+                self._roster.record_group_failure(backend)
         call.tried.append(tried)
 
     def _end(self, call: DirectCall, last: GaveUp | BrokeOff) -> Iterator[Piece]:
--- a/src/canvasyoke/direct/_group_learner.py
+++ b/src/canvasyoke/direct/_group_learner.py
@@ -1,9 +1,8 @@
-"""Asks engines once which rank group they belong to, and has the answer passed on.
+"""Discovery of the rank groups that engines belong to.
 
-Each entry asked each engine: 99 entries put 19,008 questions, each over a connection of
-its own, before they had answered their first 2,300 requests. Now the entries that watch
-the store for a failure domain ask that domain's engines. Whoever has not heard of an
-engine's group for some time asks it too.
+To limit the number of queries, only the entries that watch the store for a failure domain
+query the engines of that domain, and share the results. Other entries query an engine only
+if its group stays unknown.
 """
 
 from __future__ import annotations
@@ -19,16 +18,14 @@
 from canvasyoke.state import Endpoint, RoutingTable
 
 _log = part_logger("groups")
-#: Milliseconds between looks for engines whose group is not known. The platform prices
-#: each question like a health probe, so an engine that does not answer is not pressed.
-_LOOK_EVERY: Final = 1 * SECOND
-#: Milliseconds without word after which any entry asks an engine: five looks of those
-#: that should have asked it.
-_PATIENCE: Final = 5 * SECOND
+#: Milliseconds between rounds of queries. A query costs an engine as much as a health probe.
+_POLL_INTERVAL: Final = 1 * SECOND
+#: Milliseconds after which any entry queries an engine whose group is still unknown.
+_FALLBACK_DELAY: Final = 5 * SECOND
 
 
 class GroupLearner:
-    """Fills in the groups of a roster's backends."""
+    """Queries backends of the roster for their groups."""
 
     def __init__(
         self,
@@ -43,34 +40,34 @@
         self._is_watching = is_watching
         self._on_learned = on_learned
         self._clock = clock
-        #: Since when the group of a backend is missing.
+        #: Time since which the group of a backend is unknown, or of the last fallback query.
         self._missing_since: dict[str, int] = {}
         self._roster = roster
         self._table = table
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="groups", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="groups", daemon=True)
 
     def start(self) -> None:
-        """Start asking."""
-        self._task.start()
+        """Start the query thread."""
+        self._thread.start()
 
     def _run(self) -> None:
-        while not self._stop.wait(_LOOK_EVERY / SECOND):
+        while not self._stop.wait(_POLL_INTERVAL / SECOND):
             services = self._table().services.values()
             grouped = frozenset(s.name for s in services if s.geometry is not None)
-            for endpoint in self._due(self._roster.without_group(grouped)):
+            for endpoint in self._due(self._roster.with_unknown_group(grouped)):
                 group = self._port.group_of(endpoint)
                 if group is not None and self._roster.learn_group(endpoint.run, group):
                     self._on_learned(endpoint.run, group)
                     _log.info("group learned", backend=endpoint.run, group=group)
 
     def _due(self, missing: list[Endpoint]) -> list[Endpoint]:
-        """Return the backends that this entry asks now."""
+        """Return the backends that this entry should query now."""
         now = self._clock.now()
-        since = self._missing_since
-        self._missing_since = {e.run: since.get(e.run, now) for e in missing}
-        mine = self._roster.domain if self._is_watching() else ""
-        overdue = [e for e in missing if now - self._missing_since[e.run] >= _PATIENCE]
+        missing_since = self._missing_since
+        self._missing_since = {e.run: missing_since.get(e.run, now) for e in missing}
+        own_domain = self._roster.domain if self._is_watching() else ""
+        overdue = [e for e in missing if now - self._missing_since[e.run] >= _FALLBACK_DELAY]
         for endpoint in overdue:
             self._missing_since[endpoint.run] = now
-        return [e for e in missing if e.domain == mine or e in overdue]
+        return [e for e in missing if e.domain == own_domain or e in overdue]
--- a/src/canvasyoke/direct/_groups.py
+++ b/src/canvasyoke/direct/_groups.py
@@ -1,8 +1,8 @@
-"""Which backends fall together, and which groups stand still now.
+"""State of rank groups, whose backends fail together.
 
-All ranks of a group make their steps together: when one is lost none of them answers,
-and while the group is formed anew all refuse at once, looking idle. What one of them
-shows is therefore held against the whole group.
+The ranks of a group run in lockstep: when one is lost none of them answers, and while the
+group re-forms all of them refuse requests and look idle. A failure of one rank therefore
+counts for the whole group.
 """
 
 from __future__ import annotations
@@ -12,38 +12,35 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: Milliseconds for which a group is passed over after one of its ranks said that another
-#: is missing, doubled with each further word up to the limit: groups take half a second
-#: to form, and one with a lost rank stays away longer.
-_PASS_OVER: Final = 250
-_PASS_OVER_LIMIT: Final = 1 * SECOND
-#: Milliseconds without an event on any of a group's streams after which it is taken to
-#: stand still. Events come every 120 ms or sooner where they are on time.
-_STANDSTILL: Final = 400
-#: Weight of a new pause between two events in a group's running mean. An entry sees
-#: some fifty a second of each group, so the mean follows within a second.
+#: Milliseconds for which a group is avoided after a rank reported that another is missing;
+#: doubled with each further report up to the maximum.
+_COOLDOWN: Final = 250
+_MAX_COOLDOWN: Final = 1 * SECOND
+#: Milliseconds without an event on any stream of a group after which it is considered stalled.
+_STALL_TIMEOUT: Final = 400
+#: Weight of a new sample in a group's moving average of pauses between events.
 _PAUSE_WEIGHT: Final = 0.05
-#: Milliseconds after which a mean pause is not relied on any more.
-_PAUSE_AGE: Final = 1 * SECOND
-#: Ratio of two groups' mean pauses up to which they count as equally fast: batches and
-#: expert maps differ by that much without any rank being slow.
+#: Milliseconds for which a mean pause stays valid after the last event.
+_PAUSE_TTL: Final = 1 * SECOND
+#: Ratio of mean pauses up to which two groups count as equally fast: batch sizes and expert
+#: maps cause differences of this order.
 _SAME_PACE: Final = 1.4
 
 
 @dataclass(slots=True)
 class _Group:
-    pause: int = _PASS_OVER
-    until: int = 0
-    #: Streams of this entry that have begun and not ended.
+    cooldown: int = _COOLDOWN
+    cooldown_until: int = 0
+    #: Open streams of this entry that have had their first event.
     streams: int = 0
-    #: Time on the clock of the last event on any of them.
-    heard_at: int = 0
-    #: Running mean of the milliseconds between two events of a stream; 0 before any.
+    #: Time of the last event on any stream.
+    last_event_at: int = 0
+    #: Moving average of the milliseconds between events of a stream; 0 if unknown.
     event_pause: float = 0.0
 
 
 class RankGroups:
-    """What an entry has seen of the groups; not thread-safe, the roster guards it."""
+    """Observed state of rank groups; not thread-safe, guarded by the roster's lock."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -51,95 +48,95 @@
         self._groups: dict[str, _Group] = {}
 
     def learn(self, backend: str, group: str) -> None:
-        """Take note of a backend's group; empty when it is in none."""
+        """Store a backend's group; empty for none."""
         self._group_of[backend] = group
 
     def is_learned(self, backend: str) -> bool:
-        """Tell whether the backend's group is known, or that it has none."""
+        """Return whether the backend's group, or that it has none, is known."""
         return backend in self._group_of
 
     def learned(self) -> dict[str, str]:
-        """Return all groups known by backend."""
+        """Return the known groups by backend."""
         return dict(self._group_of)
 
     def forget(self, backend: str) -> None:
-        """Forget a backend that has gone."""
+        """Remove a backend."""
         self._group_of.pop(backend, None)
 
     def _find(self, backend: str) -> _Group | None:
         name = self._group_of.get(backend)
         return self._groups.setdefault(name, _Group()) if name else None
 
-    def stands_still(self, backend: str) -> bool:
-        """Tell whether the backend's group should be passed over now."""
+    def is_stalled(self, backend: str) -> bool:
+        """Return whether the backend's group is failed or stalled."""
         group = self._find(backend)
         if group is None:
             return False
         now = self._clock.now()
-        is_silent = group.streams > 0 and now - group.heard_at > _STANDSTILL
-        return now < group.until or is_silent
+        is_overdue = group.streams > 0 and now - group.last_event_at > _STALL_TIMEOUT
+        return now < group.cooldown_until or is_overdue
 
-    def broke(self, backend: str) -> None:
-        """Take note that the backend's group has lost a rank."""
+    def record_failure(self, backend: str) -> None:
+        """Record that the backend's group has lost a rank."""
         group = self._find(backend)
         if group is None:
             return
-        group.until = self._clock.now() + group.pause
-        group.pause = min(_PASS_OVER_LIMIT, group.pause * 2)
+        group.cooldown_until = self._clock.now() + group.cooldown
+        group.cooldown = min(_MAX_COOLDOWN, group.cooldown * 2)
 
-    def stream_began(self, backend: str) -> None:
-        """Take note of the first event of a stream."""
+    def record_stream_start(self, backend: str) -> None:
+        """Record the first event of a stream."""
         group = self._find(backend)
         if group is not None:
             group.streams += 1
-            self.heard(backend)
+            self.record_event(backend)
 
-    def heard(self, backend: str, pause: int = 0) -> None:
-        """Take note of an event, ``pause`` milliseconds after the one before it, if any.
+    def record_event(self, backend: str, pause: int = 0) -> None:
+        """Record an event, ``pause`` milliseconds after the previous one of its stream.
 
-        The group makes steps.
+        ``pause`` is 0 for the first event. Any event ends the group's cooldown.
         """
         group = self._find(backend)
         if group is None:
             return
-        group.heard_at = self._clock.now()
-        group.pause = _PASS_OVER
-        group.until = 0
+        group.last_event_at = self._clock.now()
+        group.cooldown = _COOLDOWN
+        group.cooldown_until = 0
         if pause:
             weight = _PAUSE_WEIGHT if group.event_pause else 1.0
             group.event_pause += weight * (pause - group.event_pause)
 
-    def pause(self, backend: str) -> float:
-        """Return the mean pause between events in the backend's group; 0 when unknown."""
+    def mean_pause(self, backend: str) -> float:
+        """Return the mean pause between events in the backend's group; 0 if unknown."""
         group = self._find(backend)
-        return self._known_pause(group) if group is not None else 0.0
+        return self._recent_pause(group) if group is not None else 0.0
 
-    def makes_steps(self, backend: str) -> bool:
-        """Tell whether events of the backend's group came just now."""
+    def is_progressing(self, backend: str) -> bool:
+        """Return whether the backend's group had an event within the stall timeout."""
         group = self._find(backend)
-        return group is not None and self._clock.now() - group.heard_at < _STANDSTILL
+        return group is not None and self._clock.now() - group.last_event_at < _STALL_TIMEOUT
 
     def fastest_pause(self) -> float:
-        """Return the least of the groups' mean pauses between events; 0 when unknown."""
-        pauses = [self._known_pause(group) for group in self._groups.values()]
+        """Return the smallest mean pause of all groups; 0 if unknown."""
+        pauses = [self._recent_pause(group) for group in self._groups.values()]
         return min((pause for pause in pauses if pause), default=0.0)
 
     def pace(self, backend: str, fastest: float) -> float:
-        """Return how much longer the group's steps last than those of the fastest one."""
+        """Return the ratio of the group's mean pause to the fastest one, 1 if about equal."""
         group = self._find(backend)
-        pause = self._known_pause(group) if group is not None else 0.0
+        pause = self._recent_pause(group) if group is not None else 0.0
         if not fastest or not pause:
             return 1.0
         ratio = pause / fastest
         return ratio if ratio > _SAME_PACE else 1.0
 
-    def _known_pause(self, group: _Group) -> float:
-        """Return a group's mean pause; 0 when none was seen lately."""
-        is_fresh = self._clock.now() - group.heard_at < _PAUSE_AGE
+    def _recent_pause(self, group: _Group) -> float:
+        """Return a group's mean pause; 0 if it has expired."""
+        is_fresh = self._clock.now() - group.last_event_at < _PAUSE_TTL
         return group.event_pause if is_fresh else 0.0
 
-    def stream_ended(self, backend: str) -> None:
-        """Take note that a stream has ended or broken off."""
+    def record_stream_end(self, backend: str) -> None:
+        """Record that a stream has ended or was interrupted."""
         group = self._find(backend)
         if group is not None:
             group.streams = max(0, group.streams - 1)
--- a/src/canvasyoke/direct/_home_share.py
+++ b/src/canvasyoke/direct/_home_share.py
@@ -1,12 +1,8 @@
-"""Which backends of its failure domain an entry sends to before all others.
+"""Assignment of a failure domain's backends to its entries.
 
-In a fleet of a hundred entries word of a load takes half a second from entry to entry,
-and a stream lasts three times that. Entries that all choose by such a picture meet at the
-same engines while others idle. So the engines of a domain are dealt out: each entry knows
-exactly what it has sent to its own ones, and the others come there only when they have no
-room left at theirs. Played with 99 entries and 192 engines of three slots at 72% of their
-capacity, 87% of the requests had a slot in time where it had been 73%
-(``tests/test_heavy_load.py``).
+In a large fleet, load reports arrive too late for entries to avoid choosing the same backends.
+Each entry therefore prefers its own share of the domain's backends, whose load it knows
+exactly, and uses others only when its share has no free slots.
 """
 
 from __future__ import annotations
@@ -17,17 +13,17 @@
 from canvasyoke.state import Endpoint
 
 
-def deal_home_share(
-    own: str, domain: str, near: Collection[str], endpoints: Iterable[Endpoint]
+def assign_home_share(
+    name: str, domain: str, domain_peers: Collection[str], endpoints: Iterable[Endpoint]
 ) -> frozenset[str]:
-    """Return the ids of the backends that fall to entry ``own``.
+    """Return the ids of the backends assigned to entry ``name``.
 
-    ``near`` has the names of the domain's other entries. Each entry deals alone, in an
-    order that all agree on. A service with fewer backends there than entries is not dealt:
-    most would go without.
+    ``domain_peers`` has the names of the domain's other entries. Every entry computes the same
+    assignment from a common order. Services with fewer backends in the domain than entries
+    are not assigned.
     """
-    entries = sorted({*near, own}, key=precedence)
-    position = entries.index(own)
+    entries = sorted({*domain_peers, name}, key=precedence)
+    position = entries.index(name)
     by_service: dict[str, list[str]] = {}
     for endpoint in endpoints:
         if endpoint.domain == domain:
@@ -35,7 +31,7 @@
     share: set[str] = set()
     for ids in by_service.values():
         if len(ids) >= len(entries):
-            dealt = sorted(ids, key=precedence)
-            first = position * len(dealt) // len(entries)
-            share.update(dealt[first : (position + 1) * len(dealt) // len(entries)])
+            ordered = sorted(ids, key=precedence)
+            first = position * len(ordered) // len(entries)
+            share.update(ordered[first : (position + 1) * len(ordered) // len(entries)])
     return frozenset(share)
--- a/src/canvasyoke/direct/_member.py
+++ b/src/canvasyoke/direct/_member.py
@@ -1,4 +1,4 @@
-"""What an entry has seen of one run of a backend."""
+"""An entry's record of one run of a backend."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 @dataclass(slots=True)
 class Member:
-    """A listed backend; the roster guards it."""
+    """A listed backend; guarded by the roster's lock."""
 
     endpoint: Endpoint
     ejection: Ejection
-    #: Time on the clock at which the newest word of it came.
-    heard_at: int
-    #: Requests of this entry under way there.
-    own: int = 0
-    #: Requests of other entries, by the last report, and when that came.
-    others: int = 0
+    #: Time at which the endpoint was last updated.
+    updated_at: int
+    #: In-flight requests of this entry.
+    own_requests: int = 0
+    #: In-flight requests of other entries in the last load report, and its time.
+    peer_requests: int = 0
     reported_at: int = 0
-    duration: float = 0.0
-    #: Time on the clock until which it is passed over because it was full.
+    #: Moving average of request durations in milliseconds.
+    mean_duration: float = 0.0
+    #: Time until which it is avoided after refusing a request.
     full_until: int = 0
-    #: Time on the clock until which another run is known to have its address.
-    moved_until: int = 0
+    #: Time until which it is avoided because another run answered at its address.
+    address_conflict_until: int = 0
--- a/src/canvasyoke/direct/_pace_watch.py
+++ b/src/canvasyoke/direct/_pace_monitor.py
@@ -1,10 +1,9 @@
-"""Finds the engines that hold up their group.
+"""Detection of the engines that slow down their group.
 
-All ranks of a group make their steps together, so one slow engine makes the streams of all
-of them late, and no entry can tell from the outside which one it is. An engine says so when
-it is asked. Asking costs as much as a health probe: it is done while events of a group come
-later than they may, by the entries that watch the store for a failure domain, and what they
-find is passed on.
+The ranks of a group run in lockstep, so one slow engine delays the streams of all of them,
+and only a query to each engine shows which one it is. A query costs as much as a health
+probe: only the entries that watch the store for a failure domain send it, while a group's
+events are late, and they share the results.
 """
 
 from __future__ import annotations
@@ -20,15 +19,14 @@
 from canvasyoke.state import RoutingTable
 
 _log = part_logger("pace")
-#: Milliseconds between two looks: half of a second passes unnoticed on the mean, and 63
-#: engines are asked by two entries each.
-_LOOK_EVERY: Final = 1 * SECOND
-#: Times that an engine takes for its work from which on it is told as slow.
-_SLOW: Final = 1.2
+#: Milliseconds between rounds of queries.
+_POLL_INTERVAL: Final = 1 * SECOND
+#: Slowdown factor from which an engine is reported as slow.
+_SLOW_PACE: Final = 1.2
 
 
-class PaceWatch:
-    """Asks the engines of slow groups for their pace."""
+class PaceMonitor:
+    """Queries the engines of slow groups for their pace."""
 
     def __init__(
         self,
@@ -44,32 +42,32 @@
         self._is_watching = is_watching
         self._on_learned = on_learned
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="pace", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="pace", daemon=True)
 
     def start(self) -> None:
-        """Start looking."""
-        self._task.start()
+        """Start the query thread."""
+        self._thread.start()
 
     def _run(self) -> None:
-        while not self._stop.wait(_LOOK_EVERY / SECOND):
+        while not self._stop.wait(_POLL_INTERVAL / SECOND):
             if self._is_watching():
-                self.look()
+                self.poll()
 
-    def look(self) -> None:
-        """Ask the engines of this domain whose groups are late, once."""
-        for service, longest in self._limits():
+    def poll(self) -> None:
+        """Query the engines of this domain whose groups are late or that are known to be slow."""
+        for service, longest in self._pause_limits():
             for endpoint in self._roster.in_slow_groups(service, longest):
                 pace = self._port.pace_of(endpoint)
                 was_slow = self._roster.is_slow(endpoint.run)
-                if pace is None or (pace < _SLOW and not was_slow):
+                if pace is None or (pace < _SLOW_PACE and not was_slow):
                     continue
-                told = pace if pace >= _SLOW else 1.0
-                if self._roster.learn_pace(endpoint.run, told):
-                    self._on_learned(endpoint.run, told)
-                    _log.info("pace learned", backend=endpoint.run, pace=told)
+                reported = pace if pace >= _SLOW_PACE else 1.0
+                if self._roster.learn_pace(endpoint.run, reported):
+                    self._on_learned(endpoint.run, reported)
+                    _log.info("pace learned", backend=endpoint.run, pace=reported)
 
-    def _limits(self) -> Iterator[tuple[str, int]]:
-        """Yield the services of groups with the longest pause that their routes allow."""
+    def _pause_limits(self) -> Iterator[tuple[str, int]]:
+        """Yield each grouped service with the shortest pause limit of its routes."""
         table = self._table()
         grouped = {s.name for s in table.services.values() if s.geometry is not None}
         limits: dict[str, int] = {}
--- a/src/canvasyoke/direct/_pass_over.py
+++ b/src/canvasyoke/direct/_pass_over.py
@@ -1,9 +1,8 @@
-"""Why a backend is passed over: facts, and suspicions.
+"""Checks that exclude a backend from selection.
 
-A fact is a backend's own word: nothing sets it aside, and where it holds for all that are left,
-requests are refused. A suspicion is evidence that may be wrong:
-backends under suspicion come last, and get requests when no other is left, since the last one
-must not be lost to a suspicion.
+An unavailability check rests on the backend's own notice and always excludes it; if all
+backends are unavailable, requests are refused. A suspicion check rests on evidence that may be
+wrong: suspected backends are used only when no other is left.
 """
 
 from __future__ import annotations
@@ -17,96 +16,102 @@
 from canvasyoke.coordination import Unavailability
 from canvasyoke.direct._backend_health import BackendHealth
 from canvasyoke.direct._backend_words import BackendWords
-from canvasyoke.direct._domains import DomainReach
+from canvasyoke.direct._domains import DomainReachability
 from canvasyoke.direct._groups import RankGroups
 from canvasyoke.direct._member import Member
 from canvasyoke.protocol import Reason
 
 
 @dataclass(frozen=True, slots=True)
-class Sources:
-    """What an entry knows of backends beyond what it keeps of each."""
+class BackendEvidence:
+    """Sources of the checks, besides the backend's own record."""
 
     clock: Clock
     words: BackendWords
     health: BackendHealth
     groups: RankGroups
-    domains: DomainReach
+    domains: DomainReachability
 
 
-#: Returns why, and for how long, a backend takes no request; ``None`` if it does.
-Fact: TypeAlias = Callable[[Sources, Member], Unavailability | None]
-#: Tells whether it speaks against a backend.
-Suspicion: TypeAlias = Callable[[Sources, Member], bool]
+#: Returns why and for how long a backend is unavailable; ``None`` if it is available.
+UnavailabilityCheck: TypeAlias = Callable[[BackendEvidence, Member], Unavailability | None]
+#: Returns whether a backend is suspected.
+SuspicionCheck: TypeAlias = Callable[[BackendEvidence, Member], bool]
 
-FACTS: Registry[Fact] = Registry("fact")
-SUSPICIONS: Registry[Suspicion] = Registry("suspicion")
+UNAVAILABILITY_CHECKS: Registry[UnavailabilityCheck] = Registry("unavailability check")
+SUSPICION_CHECKS: Registry[SuspicionCheck] = Registry("suspicion check")
 
 
-@FACTS.register("backoff")
-def _backs_off(sources: Sources, member: Member) -> Unavailability | None:
-    backoff = sources.words.backoff_left(member.endpoint)
+@UNAVAILABILITY_CHECKS.register("backoff")
+def _is_backing_off(evidence: BackendEvidence, member: Member) -> Unavailability | None:
+    backoff = evidence.words.backoff_left(member.endpoint)
     return Unavailability(Reason.BACKOFF, backoff) if backoff else None
 
 
-@FACTS.register("limit")
-def _is_limited(sources: Sources, member: Member) -> Unavailability | None:
-    """This entry's part of the rate that it takes is used up."""
-    wait = sources.words.limit_wait(member.endpoint)
+@UNAVAILABILITY_CHECKS.register("limit")
+def _is_limited(evidence: BackendEvidence, member: Member) -> Unavailability | None:
+    """Return the wait if this entry's share of the backend's rate limit is used up."""
+    wait = evidence.words.limit_wait(member.endpoint)
     return Unavailability(Reason.LIMITED, wait) if wait else None
 
 
-@SUSPICIONS.register("full")
-def _was_full(sources: Sources, member: Member) -> bool:
-    """It has refused without naming a time."""
-    return member.full_until > 0 and sources.clock.now() < member.full_until
+@SUSPICION_CHECKS.register("full")
+def _is_full(evidence: BackendEvidence, member: Member) -> bool:
+    """Return whether it recently refused a request without asking for backoff."""
+    return member.full_until > 0 and evidence.clock.now() < member.full_until
 
 
-@SUSPICIONS.register("backoff elsewhere")
-def _backs_off_elsewhere(sources: Sources, member: Member) -> bool:
-    """It has asked another entry to back off, and has probably no room for this one either."""
-    return sources.words.backs_off_elsewhere(member.endpoint)
+@SUSPICION_CHECKS.register("backoff elsewhere")
+def _is_backing_off_elsewhere(evidence: BackendEvidence, member: Member) -> bool:
+    """Return whether it asked another entry for backoff, so that it is probably full."""
+    return evidence.words.backs_off_elsewhere(member.endpoint)
 
 
-@SUSPICIONS.register("moved")
-def _has_moved(sources: Sources, member: Member) -> bool:
-    """Another run has said that it has the address; the backend itself has said nothing."""
-    return member.moved_until > 0 and sources.clock.now() < member.moved_until
+@SUSPICION_CHECKS.register("moved")
+def _has_address_conflict(evidence: BackendEvidence, member: Member) -> bool:
+    """Return whether another run recently answered at its address."""
+    return (
+        member.address_conflict_until > 0 and evidence.clock.now() < member.address_conflict_until
+    )
 
 
-@SUSPICIONS.register("failures")
-def _has_failed(sources: Sources, member: Member) -> bool:
+@SUSPICION_CHECKS.register("failures")
+def _has_failed(evidence: BackendEvidence, member: Member) -> bool:
     return member.ejection.ejected
 
 
-@SUSPICIONS.register("silence")
-def _is_silent(sources: Sources, member: Member) -> bool:
-    return sources.health.is_silent(member.endpoint.run)
+@SUSPICION_CHECKS.register("silence")
+def _is_unresponsive(evidence: BackendEvidence, member: Member) -> bool:
+    return evidence.health.is_unresponsive(member.endpoint.run)
 
 
-@SUSPICIONS.register("group")
-def _group_stands_still(sources: Sources, member: Member) -> bool:
-    return sources.groups.stands_still(member.endpoint.run)
+@SUSPICION_CHECKS.register("group")
+def _is_group_stalled(evidence: BackendEvidence, member: Member) -> bool:
+    return evidence.groups.is_stalled(member.endpoint.run)
 
 
-@SUSPICIONS.register("domain")
-def _domain_is_cut(sources: Sources, member: Member) -> bool:
-    return sources.domains.is_cut(member.endpoint.domain)
+@SUSPICION_CHECKS.register("domain")
+def _is_domain_unreachable(evidence: BackendEvidence, member: Member) -> bool:
+    return evidence.domains.is_unreachable(member.endpoint.domain)
 
 
-_FACTS: Final = tuple(FACTS.get(name) for name in FACTS.names())
-_SUSPICIONS: Final = tuple(SUSPICIONS.get(name) for name in SUSPICIONS.names())
+_ORDERED_UNAVAILABILITY_CHECKS: Final = tuple(
+    UNAVAILABILITY_CHECKS.get(name) for name in UNAVAILABILITY_CHECKS.names()
+)
+_ORDERED_SUSPICION_CHECKS: Final = tuple(
+    SUSPICION_CHECKS.get(name) for name in SUSPICION_CHECKS.names()
+)
 
 
-def unavailability(sources: Sources, member: Member) -> Unavailability | None:
-    """Return the fact that keeps requests from a backend for longest; ``None`` for none."""
-    found = (fact(sources, member) for fact in _FACTS)
+def unavailability(evidence: BackendEvidence, member: Member) -> Unavailability | None:
+    """Return the longest-lasting unavailability of a backend; ``None`` for none."""
+    found = (check(evidence, member) for check in _ORDERED_UNAVAILABILITY_CHECKS)
     return max((each for each in found if each), key=lambda each: each.wait, default=None)
 
 
-def is_suspect(sources: Sources, member: Member) -> bool:
-    """Tell whether any suspicion speaks against a backend."""
-    for suspicion in _SUSPICIONS:  # noqa: SIM110 - a choice asks this of each backend
-        if suspicion(sources, member):
+def is_suspect(evidence: BackendEvidence, member: Member) -> bool:
+    """Return whether any suspicion check applies to a backend."""
+    for check in _ORDERED_SUSPICION_CHECKS:  # noqa: SIM110 - runs per backend and request
+        if check(evidence, member):
             return True
     return False
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -206,7 +206,7 @@
     def _closed(self, session: Session) -> None:
         self._backends.closed(session)
         if self._links.is_mesh:
-            self._roster.peer_left(session.peer)
+            self._roster.remove_peer(session.peer)
         _log.info("link lost", peer=session.peer)
 
     def _took(self, session: Session, message: Message) -> None:
@@ -230,7 +230,7 @@
                 if self._roster.learn_pace(message.backend, message.pace):
                     self._tell_all(message, but=session)
             case SilenceNews():
-                if self._roster.fell_silent(message.backend):
+                if self._roster.mark_unresponsive(message.backend):
                     self._tell_all(message, but=session)
             case BackendWords():
                 self._words.took(session, message)
@@ -250,11 +250,11 @@
         if load.demands:
             self._shares.told(session.peer, load.demands)
         if self._links.is_mesh or session.peer in self._near:
-            self._roster.peer_load(session.peer, ToldLoad(load.told_at, load.under_way))
+            self._roster.update_peer_load(session.peer, ToldLoad(load.told_at, load.under_way))
         for relayed in load.relayed:
             if relayed.entry != self._own.name:
                 told = ToldLoad(relayed.told_at, relayed.under_way)
-                self._roster.peer_load(relayed.entry, told)
+                self._roster.update_peer_load(relayed.entry, told)
         self.rota.hear([StoreContact(w.name, w.age, w.is_lost) for w in load.watchers])
         self._tables.heard_of(load.config_version, session)
         self._backends.heard_up_to(load.backends_revision, load.backends_age, session)
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -20,7 +20,7 @@
 from canvasyoke.direct._forwarder import Forwarder
 from canvasyoke.direct._group_learner import GroupLearner
 from canvasyoke.direct._metrics import DirectMetrics
-from canvasyoke.direct._pace_watch import PaceWatch
+from canvasyoke.direct._pace_monitor import PaceMonitor
 from canvasyoke.direct._peers import EntryPeers
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
@@ -122,14 +122,16 @@
             self._peers.tell_group,
             self._clock,
         )
-        self._paces = PaceWatch(
+        self._paces = PaceMonitor(
             port,
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
             self._peers.tell_pace,
         )
-        self._domains = DomainProber(self._roster.cut_addresses, self._roster.domain_reached)
+        self._domains = DomainProber(
+            self._roster.probe_addresses, self._roster.record_connect_success
+        )
         self._callers = DirectCallers(
             CALLER_PORTS.get(settings.adapter)(),
             lambda: self._view.current,
@@ -219,7 +221,7 @@
 
     def _heard_nothing_of(self, backend: str) -> None:
         """Pass a backend over that takes streams and says nothing, here and elsewhere."""
-        if self._roster.fell_silent(backend):
+        if self._roster.mark_unresponsive(backend):
             _log.warning("backend says nothing", backend=backend)
             self._peers.tell_silence(backend)
 
@@ -252,17 +254,17 @@
         gauge(
             "canvasyoke_backends_backing_off",
             "Backends that have asked this entry to send them nothing for now.",
-            lambda: self._roster.backing_off,
+            lambda: self._roster.backing_off_count,
         )
         gauge(
             "canvasyoke_backends_leaving",
             "Backends that have said in an answer that they leave.",
-            lambda: self._roster.leaving,
+            lambda: self._roster.leaving_count,
         )
         gauge(
             "canvasyoke_backends_limited",
             "Backends that name a rate that they take from all entries together.",
-            lambda: self._roster.limited,
+            lambda: self._roster.rate_limited_count,
         )
         gauge(
             "canvasyoke_entries_unreadable",
--- a/src/canvasyoke/direct/_refusals.py
+++ b/src/canvasyoke/direct/_refusals.py
@@ -9,7 +9,7 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.backend import MayHaveRun, NotRun, NotRunCause
 from canvasyoke.direct._call import BrokeOff, DirectCall, GaveUp
-from canvasyoke.direct._choice import NoneAble
+from canvasyoke.direct._choice import NoneAvailable
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 
@@ -75,7 +75,7 @@
         self._line = ReturnLine(clock)
 
     def give_up(
-        self, call: DirectCall, detail: str, cause: NotRun | MayHaveRun | NoneAble
+        self, call: DirectCall, detail: str, cause: NotRun | MayHaveRun | NoneAvailable
     ) -> GaveUp | BrokeOff:
         """Return the last word to a caller whose request no backend has answered."""
         if call.delivered:
@@ -87,27 +87,27 @@
             return GaveUp(_BAD_REQUEST, detail)
         return GaveUp(_UNAVAILABLE, detail, retry_after=self._retry_after(call, cause))
 
-    def _retry_after(self, call: DirectCall, cause: NotRun | MayHaveRun | NoneAble) -> int:
+    def _retry_after(self, call: DirectCall, cause: NotRun | MayHaveRun | NoneAvailable) -> int:
         """Return when the caller should come back, by what kept the request from running.
 
         Where backends have said when they take requests again, the caller is told so, also
         if it cannot wait so long: a shorter time would bring it back to be refused again.
         """
-        wait = self._roster.wait_left(call.service)
-        if isinstance(cause, NoneAble) and cause.reason is Reason.LIMITED:
-            return self._line.place(call.service, wait, self._roster.limited_part(call.service))
+        wait = self._roster.time_until_available(call.service)
+        if isinstance(cause, NoneAvailable) and cause.reason is Reason.LIMITED:
+            return self._line.place(call.service, wait, self._roster.rate_limit_share(call.service))
         if wait:
             return wait + self._rng.randint(1, max(_RETURN_LEAST, round(wait * _RETURN_PART)))
         bounds = _RETRY_FULL
-        if self._roster.is_away(call.service) or _is_lasting(call, cause):
+        if self._roster.is_service_stalled(call.service) or _is_lasting(call, cause):
             bounds = _RETRY_AWAY
-        elif isinstance(cause, NoneAble) and cause.reason is Reason.OVERLOADED:
+        elif isinstance(cause, NoneAvailable) and cause.reason is Reason.OVERLOADED:
             bounds = _RETRY_CROWDED
         longest = round((call.deadline - self._clock.now()) * _RETRY_PART)
         return max(1, min(self._rng.randint(*bounds), longest))
 
 
-def _is_lasting(call: DirectCall, cause: NotRun | MayHaveRun | NoneAble) -> bool:
+def _is_lasting(call: DirectCall, cause: NotRun | MayHaveRun | NoneAvailable) -> bool:
     """Tell whether what kept a request from running takes seconds to mend.
 
     So it does where a rank of the backend's group is missing, and where the list of
--- a/src/canvasyoke/direct/_retries.py
+++ b/src/canvasyoke/direct/_retries.py
@@ -28,7 +28,7 @@
             return "the route's attempts are used up"
         if call.deadline - self._clock.now() < LEAST_TIME:
             return "no time is left"
-        if not self._roster.has_other(call.service, call.tried_runs):
+        if not self._roster.has_alternative(call.service, call.tried_runs):
             return "no other backend takes requests"
         if isinstance(failure, NotRun) and not failure.has_arrived:
             return ""  # nothing arrived anywhere, so nothing is spent
@@ -48,7 +48,9 @@
     def should_move(self, call: DirectCall) -> bool:
         """Tell whether a stream goes on elsewhere because its backend holds up the group."""
         return (
-            self._roster.crawls(call.backend) and self._may_go_elsewhere(call) and self._pay(call)
+            self._roster.should_migrate_streams(call.backend)
+            and self._may_go_elsewhere(call)
+            and self._pay(call)
         )
 
     def is_overdue(self, call: DirectCall) -> bool:
@@ -73,7 +75,7 @@
         return (
             call.route.repeatable
             and len(call.sent_to | {call.backend}) < call.route.max_attempts
-            and self._roster.has_other(call.service, call.tried_runs | {call.backend})
+            and self._roster.has_alternative(call.service, call.tried_runs | {call.backend})
         )
 
     def _pay(self, call: DirectCall) -> bool:
--- a/src/canvasyoke/direct/_roster.py
+++ b/src/canvasyoke/direct/_roster.py
@@ -1,4 +1,4 @@
-"""The backends that an entry knows, and what it has seen of each.
+"""The roster of backends that an entry knows, and selection among them.
 
 The list comes from the store; load and failures come from this entry's own traffic.
 """
@@ -11,9 +11,9 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.coordination import Candidate, RouteRequest, filter_candidates
 from canvasyoke.direct._admission import ADMISSIONS
+from canvasyoke.direct._backend_availability import BackendAvailability
 from canvasyoke.direct._backend_records import FleetView
-from canvasyoke.direct._backend_standing import BackendStanding
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._member import Member
 from canvasyoke.direct._pass_over import is_suspect, unavailability
 from canvasyoke.observe import part_logger
@@ -22,32 +22,31 @@
 
 __all__ = ["FleetView", "Roster"]
 
-#: Milliseconds for which a backend is passed over whose address another run has: the list
-#: will have caught up by then.
-_MOVED_PAUSE: Final = 5 * SECOND
-#: Milliseconds that a request is taken to need before any of its service has ended: a
-#: stream takes somewhat more, a short answer much less.
+#: Milliseconds for which a backend is avoided after another run answered at its address; the
+#: list is updated by then.
+_ADDRESS_CONFLICT_COOLDOWN: Final = 5 * SECOND
+#: Assumed duration of a request in milliseconds, until one of its service has finished.
 _ASSUMED_DURATION: Final = 1_000.0
-#: Part of a new duration in the running mean.
+#: Weight of a new sample in the moving averages of durations.
 _DURATION_WEIGHT: Final = 0.2
 _ADMISSION: Final = "short_queue"
 _log = part_logger("roster")
 
 
 @dataclass(slots=True)
-class Roster(BackendStanding):
-    """All backends known, and the choice among them; thread-safe."""
+class Roster(BackendAvailability):
+    """All known backends, and selection among them; thread-safe."""
 
-    def choose(self, wanted: Wanted) -> Chosen | NoneAble:
-        """Return the backend for a request and count the request there."""
+    def choose(self, query: BackendQuery) -> Chosen | NoneAvailable:
+        """Select the backend for a request and count the request as in flight."""
         with self._lock:
             self._peers.forget_stale(self.clock.now())
             req = RouteRequest(
-                wanted.service,
+                query.service,
                 self.domain,
-                wanted.tried,
-                self._peers.entries + 1 if self._fleet.hears_all else self._fleet.entries,
-                len(self._fleet.near) + 1,
+                query.tried,
+                self._peers.entries + 1 if self._fleet.is_full_mesh else self._fleet.entries,
+                len(self._fleet.domain_peers) + 1,
             )
             fastest = self._groups.fastest_pause()
             has_words = self._words.is_any
@@ -55,22 +54,22 @@
                 [
                     self._candidate(m, fastest, has_words)
                     for m in self._members.values()
-                    if m.endpoint.service == wanted.service
+                    if m.endpoint.service == query.service
                 ],
                 req,
             )
             if not found.candidates:
-                return NoneAble(found.reason, found.wait)
+                return NoneAvailable(found.reason, found.wait)
             best = self._ranker.choose(found.candidates, req)
             member = self._members[best.instance]
-            duration = self._durations.get(wanted.service, _ASSUMED_DURATION)
-            if not ADMISSIONS.get(_ADMISSION)(best, duration, wanted.patience):
-                return NoneAble(Reason.OVERLOADED)
-            member.own += 1
+            duration = self._durations.get(query.service, _ASSUMED_DURATION)
+            if not ADMISSIONS.get(_ADMISSION)(best, duration, query.max_wait):
+                return NoneAvailable(Reason.OVERLOADED)
+            member.own_requests += 1
             member.ejection.sent()
             self._words.sent(member.endpoint)
-            heard_ago = self.clock.now() - member.heard_at
-            return Chosen(member.endpoint, best.load, heard_ago, self._list_age())
+            update_age = self.clock.now() - member.updated_at
+            return Chosen(member.endpoint, best.load, update_age, self._list_age())
 
     def _candidate(self, member: Member, fastest: float, has_words: bool) -> Candidate:
         endpoint = member.endpoint
@@ -81,113 +80,113 @@
             connected=True,
             leaving=self._is_leaving(member),
             healthy=True,
-            ejected=is_suspect(self._sources, member),
-            unavailable=unavailability(self._sources, member) if has_words else None,
+            ejected=is_suspect(self._evidence, member),
+            unavailable=unavailability(self._evidence, member) if has_words else None,
             slots=endpoint.slots,
             queue=0,
             reported=self._load(member),
             waiting=0,
             report_age=0,
-            own_reported=member.own,
-            own=member.own,
-            duration=round(member.duration),
+            own_reported=member.own_requests,
+            own=member.own_requests,
+            duration=round(member.mean_duration),
             pace=self._groups.pace(endpoint.run, fastest) * self._health.pace(endpoint.run),
-            is_home=endpoint.run in self._home,
+            is_home=endpoint.run in self._home_share,
         )
 
-    def is_away(self, service: str) -> bool:
-        """Tell whether every group of a service stands still."""
+    def is_service_stalled(self, service: str) -> bool:
+        """Return whether every group of a service is failed or stalled."""
         with self._lock:
             ready = [m for m in self._members.values() if m.endpoint.service == service]
-            return bool(ready) and all(self._groups.stands_still(m.endpoint.run) for m in ready)
+            return bool(ready) and all(self._groups.is_stalled(m.endpoint.run) for m in ready)
 
-    def domain_missed(self, endpoint: Endpoint) -> None:
-        """Take note that no connection was made to a backend."""
+    def record_connect_failure(self, endpoint: Endpoint) -> None:
+        """Record a failure to connect to a backend."""
         with self._lock:
-            if self._domains.missed(endpoint.domain, endpoint.run):
+            if self._domains.record_failure(endpoint.domain, endpoint.run):
                 _log.warning("domain out of reach", domain=endpoint.domain, own=self.domain)
 
-    def domain_reached(self, domain: str) -> None:
-        """Take note that a connection was made to a backend of a domain."""
+    def record_connect_success(self, domain: str) -> None:
+        """Record a successful connection to a backend of a domain."""
         with self._lock:
-            if self._domains.reached(domain):
+            if self._domains.record_success(domain):
                 _log.info("domain in reach", domain=domain, own=self.domain)
 
-    def cut_addresses(self) -> dict[str, str]:
-        """Return the address of one backend in each domain that is out of reach."""
+    def probe_addresses(self) -> dict[str, str]:
+        """Return the address of a random backend in each unreachable domain."""
         with self._lock:
-            cut = self._domains.cut()
-            found = [m.endpoint for m in self._members.values() if m.endpoint.domain in cut]
+            unreachable = self._domains.unreachable()
+            found = [m.endpoint for m in self._members.values() if m.endpoint.domain in unreachable]
             self.rng.shuffle(found)
             return {endpoint.domain: endpoint.address for endpoint in found}
 
     def is_isolated(self) -> bool:
-        """Tell whether callers had better go to entries of other domains.
+        """Return whether callers should use entries of other domains.
 
-        So it is while all other domains are out of reach from here and a service has no
-        backend left that answers; the others may still reach some. It stays so until a
-        domain is in reach again, since without callers nothing tells of the backends.
+        An entry is isolated when all other domains are unreachable and a service has no
+        responsive backend. It stays isolated until a domain is reachable again, since without
+        callers there is no traffic that would show the state of its backends.
         """
         with self._lock:
             endpoints = [m.endpoint for m in self._members.values()]
             others = {e.domain for e in endpoints} - {self.domain}
-            if not others or not others <= self._domains.cut():
+            if not others or not others <= self._domains.unreachable():
                 self._is_isolated = False
             elif not self._is_isolated:
                 services = {e.service for e in endpoints}
-                served = {e.service for e in endpoints if self._answers(e)}
+                served = {e.service for e in endpoints if self._is_responsive(e)}
                 self._is_isolated = served != services
             return self._is_isolated
 
-    def _answers(self, endpoint: Endpoint) -> bool:
-        is_cut = self._domains.is_cut(endpoint.domain)
-        return not is_cut and not self._groups.stands_still(endpoint.run)
+    def _is_responsive(self, endpoint: Endpoint) -> bool:
+        is_unreachable = self._domains.is_unreachable(endpoint.domain)
+        return not is_unreachable and not self._groups.is_stalled(endpoint.run)
 
-    def finished(self, run: str, duration: int, failed: bool) -> None:
-        """Take note that a request is no longer under way there."""
+    def record_finished(self, run: str, duration: int, failed: bool) -> None:
+        """Record the end of a request and its duration in milliseconds."""
         with self._lock:
             member = self._members.get(run)
             if member is None:
                 return
-            member.own = max(0, member.own - 1)
+            member.own_requests = max(0, member.own_requests - 1)
             if failed:
                 member.ejection.failed()
                 return
             member.ejection.succeeded()
-            member.duration += _DURATION_WEIGHT * (duration - member.duration)
+            member.mean_duration += _DURATION_WEIGHT * (duration - member.mean_duration)
             service = member.endpoint.service
             mean = self._durations.get(service, float(duration))
             self._durations[service] = mean + _DURATION_WEIGHT * (duration - mean)
 
-    def cancelled(self, run: str) -> None:
-        """Take note that the caller of a request there has left.
+    def record_cancelled(self, run: str) -> None:
+        """Record that the caller cancelled a request.
 
-        That says nothing of the backend, and how long the request took nothing of others.
+        This affects neither the backend's failure count nor the mean durations.
         """
         with self._lock:
             member = self._members.get(run)
             if member is not None:
-                member.own = max(0, member.own - 1)
+                member.own_requests = max(0, member.own_requests - 1)
 
-    def was_not_sent(self, run: str) -> None:
-        """Take note that a request that was chosen for a backend did not get there."""
+    def record_not_sent(self, run: str) -> None:
+        """Record that a request was not sent to the backend chosen for it."""
         with self._lock:
             member = self._members.get(run)
             if member is not None:
                 self._words.was_not_sent(member.endpoint)
 
-    def moved(self, run: str) -> None:
-        """Take note that another run has the address of this one."""
+    def record_address_conflict(self, run: str) -> None:
+        """Record that another run answered at the address of this one."""
         with self._lock:
             member = self._members.get(run)
             if member is not None:
-                member.own = max(0, member.own - 1)
-                member.moved_until = self.clock.now() + _MOVED_PAUSE
+                member.own_requests = max(0, member.own_requests - 1)
+                member.address_conflict_until = self.clock.now() + _ADDRESS_CONFLICT_COOLDOWN
 
-    def refused(self, run: str, pause: int) -> None:
-        """Take note that a backend turned a request away unrun; pass it over for a while."""
+    def record_refusal(self, run: str, pause: int) -> None:
+        """Record that a backend refused a request; avoid it for ``pause`` milliseconds."""
         with self._lock:
             member = self._members.get(run)
             if member is not None:
-                member.own = max(0, member.own - 1)
+                member.own_requests = max(0, member.own_requests - 1)
                 member.full_until = self.clock.now() + pause
--- a/src/canvasyoke/direct/_word_exchange.py
+++ b/src/canvasyoke/direct/_word_exchange.py
@@ -27,13 +27,13 @@
 
     def opened(self, session: Session) -> None:
         """Tell an entry that is newly linked with all that still holds."""
-        words = self._roster.words_to_tell()
+        words = self._roster.notices_to_share()
         if words:
             session.send(BackendWords([_to_message(told) for told in words]))
 
     def took(self, session: Session, message: BackendWords) -> None:
         """Take what another entry tells, and pass on what is news."""
-        news = [word for word in message.words if self._roster.heard_word(_to_told(word))]
+        news = [word for word in message.words if self._roster.merge_peer_notice(_to_told(word))]
         if not news:
             return
         self._tell_all(BackendWords(news), session)
--- a/src/canvasyoke/direct/_word_keeper.py
+++ b/src/canvasyoke/direct/_word_keeper.py
@@ -36,7 +36,7 @@
         """Take the notice in the head of any answer of a backend."""
         for field in notice.unreadable:
             self._found_unreadable(endpoint.run, field)
-        change = self._roster.took_notice(endpoint, notice)
+        change = self._roster.record_notice(endpoint, notice)
         if change.backoff:
             _log.info(
                 "backend asks to back off",
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -278,7 +278,7 @@
             else:
                 entry.roster.put(change.endpoint)
             entry.peers.tell_backend(change)
-            entry.roster.knows_up_to(change.position)
+            entry.roster.advance_position(change.position)
         entry.watched = len(self.history)
 
     def list_at(self, name: str) -> None:
--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/need_model.py
@@ -19,7 +19,7 @@
 from canvasyoke.direct._backend_words import ToldWord
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import DirectCall, GaveUp, Tried
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._peer_loads import ToldLoad
 from canvasyoke.direct._refusals import Refusals
@@ -163,7 +163,7 @@
         def tell() -> None:
             load = ToldLoad(self.clock.now(), entry.roster.own_load())
             demands = {_SERVICE: entry.budget.demand(_SERVICE)}
-            self._tell(entry, lambda other: other.roster.peer_load(entry.name, load))
+            self._tell(entry, lambda other: other.roster.update_peer_load(entry.name, load))
             self._tell(entry, lambda other: other.shares.told(entry.name, demands))
             self._plan(_TELL_EVERY, tell)
 
@@ -192,7 +192,7 @@
     def _choose(
         self, entry: _Entry, call: DirectCall, tried: frozenset[str], has_returned: bool
     ) -> None:
-        chosen = entry.roster.choose(Wanted(_SERVICE, tried, _PATIENCE))
+        chosen = entry.roster.choose(BackendQuery(_SERVICE, tried, _PATIENCE))
         if isinstance(chosen, Chosen):
             self._plan(_WAY, lambda: self._reach(entry, call, chosen, tried, has_returned))
         else:
@@ -218,12 +218,12 @@
         notice = BackendNotice(backoff=need.backoff if self.day.hears else 0)
 
         def refused() -> None:
-            change = entry.roster.took_notice(backend.endpoint, notice)
-            entry.roster.refused(backend.endpoint.run, _PAUSE)
+            change = entry.roster.record_notice(backend.endpoint, notice)
+            entry.roster.record_refusal(backend.endpoint.run, _PAUSE)
             call.tried.append(Tried(chosen, "refused", 2 * _WAY))
             if change.backoff and self.day.tells:
                 told = ToldWord(backend.endpoint.run, backend.endpoint.address, change.backoff)
-                self._tell(entry, lambda other: other.roster.heard_word(told))
+                self._tell(entry, lambda other: other.roster.merge_peer_notice(told))
             self._retry(entry, call, tried | {backend.endpoint.run}, has_returned)
 
         self._plan(_WAY, refused)
@@ -237,11 +237,11 @@
 
         def heard() -> None:
             notice = BackendNotice(rate_limit=limit, tells_limit=True)
-            change = entry.roster.took_notice(backend.endpoint, notice)
+            change = entry.roster.record_notice(backend.endpoint, notice)
             if change.limit is not None and self.day.tells:
                 run, address = backend.endpoint.run, backend.endpoint.address
                 told = ToldWord(run, address, limit=change.limit)
-                self._tell(entry, lambda other: other.roster.heard_word(told))
+                self._tell(entry, lambda other: other.roster.merge_peer_notice(told))
 
         self._plan(_WAY, heard)
 
@@ -258,7 +258,7 @@
     def _retry(
         self, entry: _Entry, call: DirectCall, tried: frozenset[str], has_returned: bool
     ) -> None:
-        may_retry = len(tried) < 2 and entry.roster.has_other(_SERVICE, tried)
+        may_retry = len(tried) < 2 and entry.roster.has_alternative(_SERVICE, tried)
         if may_retry and entry.budget.spend(_SERVICE):
             self._choose(entry, call, tried, has_returned)
         else:
@@ -266,7 +266,7 @@
             self._refuse(entry, call, cause, has_returned)
 
     def _refuse(
-        self, entry: _Entry, call: DirectCall, cause: NotRun | NoneAble, has_returned: bool
+        self, entry: _Entry, call: DirectCall, cause: NotRun | NoneAvailable, has_returned: bool
     ) -> None:
         if has_returned:
             self.outcome.refused_twice += 1
@@ -285,7 +285,7 @@
 
         def end() -> None:
             backend.running -= 1
-            entry.roster.finished(backend.endpoint.run, round(duration), failed=False)
+            entry.roster.record_finished(backend.endpoint.run, round(duration), failed=False)
             self.outcome.answered += 1
             if backend.waiting:
                 backend.waiting.pop(0)()
--- a/src/canvasyoke/direct/tests/returning_fleet.py
+++ b/src/canvasyoke/direct/tests/returning_fleet.py
@@ -108,9 +108,9 @@
                 changes = entry.roster.put(change.endpoint)
             for told in changes:
                 entry.peers.tell_backend(told)
-            entry.roster.knows_up_to(change.position)
+            entry.roster.advance_position(change.position)
         entry.watched = len(self.history)
-        entry.roster.knows_up_to(self.at)
+        entry.roster.advance_position(self.at)
 
     def pass_turns(self, turns: int) -> None:
         """Let time pass; what is due after a return happens on the way."""
@@ -128,7 +128,7 @@
                 self.watch_all()
             for name in self.watchers():
                 roster = self.entries[name].roster
-                if roster.wants_list and roster.doubted:
+                if roster.needs_list and roster.doubted:
                     self.list_at(name)
 
     def _write_again(self) -> None:
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -1,4 +1,4 @@
-"""What is taken from a backend's pace and from its silence."""
+"""Tests for the handling of slow and unresponsive backends."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from canvasyoke._clock import ManualClock
 from canvasyoke.backend import DirectBackendPort
-from canvasyoke.direct._choice import Chosen, Wanted
-from canvasyoke.direct._pace_watch import PaceWatch
+from canvasyoke.direct._choice import BackendQuery, Chosen
+from canvasyoke.direct._pace_monitor import PaceMonitor
 from canvasyoke.direct._peer_loads import ToldLoad
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort
@@ -34,32 +34,32 @@
 
 @pytest.fixture
 def roster(clock: ManualClock) -> Roster:
-    """Return a roster of one group, whose streams begin after 150 ms."""
+    """Return a roster with one group and a mean wait of 150 ms for the first event."""
     roster = Roster("nbo-a", clock, random.Random(1))
     roster.merge(
         [Endpoint(n, "ink", f"{n}:1", "nbo-a", SLOTS, EndpointState.READY, 1) for n in RANKS], 1
     )
     for name in RANKS:
         roster.learn_group(name, "g-1")
-    roster.stream_began(RANKS[0], 150)
+    roster.record_stream_start(RANKS[0], 150)
     return roster
 
 
-def play(roster: Roster, clock: ManualClock, pause: int, events: int) -> None:
-    """Have the stream at the first backend go on."""
+def play_events(roster: Roster, clock: ManualClock, pause: int, events: int) -> None:
+    """Record further events of the stream at the first backend."""
     for _ in range(events):
         clock.advance(pause)
-        roster.stream_heard(RANKS[0], pause)
+        roster.record_stream_event(RANKS[0], pause)
 
 
-def chosen(roster: Roster, requests: int) -> list[str]:
-    found = [roster.choose(Wanted("ink")) for _ in range(requests)]
+def choose_many(roster: Roster, requests: int) -> list[str]:
+    found = [roster.choose(BackendQuery("ink")) for _ in range(requests)]
     return [each.endpoint.id for each in found if isinstance(each, Chosen)]
 
 
-#: Milliseconds since a stream was sent, whether its group makes steps, requests of other
-#: entries at its backend, whether other streams there go on, and whether it is overdue.
-WAITS = [
+#: Milliseconds since the request, whether the group is progressing, requests of other entries
+#: at the backend, whether its other streams have events, and whether the stream is overdue.
+OVERDUE_CASES = [
     ("not yet", 500, True, 0, False, False),
     ("nothing where others answer in 0.15 s", 700, True, 0, False, True),
     ("the whole group stands still", 700, False, 0, False, False),
@@ -69,48 +69,48 @@
 
 
 @pytest.mark.parametrize(
-    ("waited", "steps", "others", "goes_on", "expected"), [case[1:] for case in WAITS]
+    ("waited", "is_progressing", "others", "has_other_events", "expected"),
+    [case[1:] for case in OVERDUE_CASES],
 )
-def test_silence_is_told_from_waiting(
+def test_is_overdue(
     roster: Roster,
     clock: ManualClock,
     waited: int,
-    steps: bool,
+    is_progressing: bool,
     others: int,
-    goes_on: bool,
+    has_other_events: bool,
     expected: bool,
 ) -> None:
-    if steps:
-        play(roster, clock, 100, waited // 100)
+    if is_progressing:
+        play_events(roster, clock, 100, waited // 100)
     else:
         clock.advance(waited)
-    roster.peer_load("entry-2", ToldLoad(1, {RANKS[1]: others}))
-    if goes_on:
-        roster.stream_heard(RANKS[1], 100)
+    roster.update_peer_load("entry-2", ToldLoad(1, {RANKS[1]: others}))
+    if has_other_events:
+        roster.record_stream_event(RANKS[1], 100)
     assert roster.is_overdue(RANKS[1], waited) is expected
 
 
-def test_a_silent_backend_is_passed_over_for_some_seconds(
+def test_unresponsive_backend_is_avoided_until_cooldown_ends(
     roster: Roster, clock: ManualClock
 ) -> None:
-    assert roster.fell_silent(RANKS[1])
-    assert not roster.fell_silent(RANKS[1])  # so that word of it ends
-    assert RANKS[1] not in chosen(roster, 10)
+    assert roster.mark_unresponsive(RANKS[1])
+    assert not roster.mark_unresponsive(RANKS[1])  # not reported to other entries again
+    assert RANKS[1] not in choose_many(roster, 10)
     clock.advance(5_000)
-    assert RANKS[1] in chosen(roster, 20)
+    assert RANKS[1] in choose_many(roster, 20)
 
 
-def test_a_slow_backend_gets_few_requests_while_word_of_it_is_fresh(
-    roster: Roster, clock: ManualClock
-) -> None:
-    """Before: as many as the others, five of thirty."""
+def test_slow_backend_is_avoided_until_its_pace_expires(roster: Roster, clock: ManualClock) -> None:
     assert roster.learn_pace(RANKS[2], 12.0)
-    assert RANKS[2] not in chosen(roster, 25)
+    assert RANKS[2] not in choose_many(roster, 25)
     clock.advance(3_000)
     assert not roster.is_slow(RANKS[2])
 
 
-def test_the_same_word_is_news_again_after_a_while(roster: Roster, clock: ManualClock) -> None:
+def test_unchanged_pace_is_reported_again_after_interval(
+    roster: Roster, clock: ManualClock
+) -> None:
     assert roster.learn_pace(RANKS[2], 5.0)
     assert not roster.learn_pace(RANKS[2], 5.0)
     assert roster.learn_pace(RANKS[2], 1.0)
@@ -118,18 +118,18 @@
     assert roster.learn_pace(RANKS[2], 1.0)
 
 
-#: Times that a backend takes, and whether its streams go on elsewhere.
-PACES = [(1.0, False), (1.6, False), (2.9, False), (3.0, True), (12.0, True)]
+#: Slowdown factor, and whether the backend's streams should move.
+MIGRATION_CASES = [(1.0, False), (1.6, False), (2.9, False), (3.0, True), (12.0, True)]
 
 
-@pytest.mark.parametrize(("pace", "expected"), PACES)
-def test_streams_leave_a_backend_that_crawls(roster: Roster, pace: float, expected: bool) -> None:
+@pytest.mark.parametrize(("pace", "expected"), MIGRATION_CASES)
+def test_streams_move_from_a_very_slow_backend(roster: Roster, pace: float, expected: bool) -> None:
     roster.learn_pace(RANKS[2], pace)
-    assert roster.crawls(RANKS[2]) is expected
+    assert roster.should_migrate_streams(RANKS[2]) is expected
 
 
-class _Paces(CannedPort):
-    """Engines that tell their pace."""
+class _PacePort(CannedPort):
+    """A port whose engines return given paces."""
 
     def __init__(self, paces: dict[str, float]) -> None:
         super().__init__(lambda: pytest.fail("nothing is sent"))
@@ -141,7 +141,9 @@
         return self.paces.get(endpoint.id, 1.0)
 
 
-def watch(port: DirectBackendPort, roster: Roster, told: list[tuple[str, float]]) -> PaceWatch:
+def make_monitor(
+    port: DirectBackendPort, roster: Roster, reported: list[tuple[str, float]]
+) -> PaceMonitor:
     route = TableRoute(
         **{name: getattr(ROUTE, name) for name in ROUTE.__slots__ if name != "longest_pause"},
         longest_pause=120,
@@ -149,38 +151,38 @@
     table = RoutingTable(
         version=1, routes=(route,), services={"ink": TableService("ink", 100, GEOMETRY)}
     )
-    return PaceWatch(
-        port, roster, lambda: table, lambda: True, lambda name, pace: told.append((name, pace))
+    return PaceMonitor(
+        port, roster, lambda: table, lambda: True, lambda name, pace: reported.append((name, pace))
     )
 
 
-def test_engines_are_asked_only_while_their_group_is_late(
+def test_engines_are_queried_only_while_their_group_is_late(
     roster: Roster, clock: ManualClock
 ) -> None:
-    told: list[tuple[str, float]] = []
-    port = _Paces({RANKS[4]: 12.0})
-    paces = watch(port, roster, told)
-    play(roster, clock, 90, 20)
-    paces.look()
+    reported: list[tuple[str, float]] = []
+    port = _PacePort({RANKS[4]: 12.0})
+    monitor = make_monitor(port, roster, reported)
+    play_events(roster, clock, 90, 20)
+    monitor.poll()
     assert port.asked == []
-    play(roster, clock, 300, 40)
-    paces.look()
+    play_events(roster, clock, 300, 40)
+    monitor.poll()
     assert sorted(port.asked) == RANKS
-    assert told == [(RANKS[4], 12.0)]
+    assert reported == [(RANKS[4], 12.0)]
 
 
-def test_an_engine_that_has_recovered_is_told_of(roster: Roster, clock: ManualClock) -> None:
-    told: list[tuple[str, float]] = []
-    port = _Paces({})
-    paces = watch(port, roster, told)
+def test_recovery_of_an_engine_is_reported(roster: Roster, clock: ManualClock) -> None:
+    reported: list[tuple[str, float]] = []
+    port = _PacePort({})
+    monitor = make_monitor(port, roster, reported)
     roster.learn_pace(RANKS[4], 12.0)
-    play(roster, clock, 90, 20)
-    paces.look()
+    play_events(roster, clock, 90, 20)
+    monitor.poll()
     assert port.asked == [RANKS[4]]
-    assert told == [(RANKS[4], 1.0)]
+    assert reported == [(RANKS[4], 1.0)]
 
 
-def test_all_backends_slow_is_better_than_none(roster: Roster) -> None:
+def test_slow_backends_are_used_when_all_are_slow(roster: Roster) -> None:
     for name in RANKS:
         roster.learn_pace(name, 12.0)
-    assert sorted(chosen(roster, 6)) == RANKS
+    assert sorted(choose_many(roster, 6)) == RANKS
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -11,7 +11,7 @@
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_limits import BackendLimits, RateWord, Share
 from canvasyoke.direct._backend_words import ToldWord
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._refusals import ReturnLine
 from canvasyoke.direct._roster import Roster
@@ -151,41 +151,41 @@
 def test_an_answer_without_the_word_takes_the_limit_back(
     roster: Roster, clock: ManualClock
 ) -> None:
-    assert roster.took_notice(A, BackendNotice(rate_limit=2.0, tells_limit=True)).limit
+    assert roster.record_notice(A, BackendNotice(rate_limit=2.0, tells_limit=True)).limit
     assert roster.has_limits
     clock.advance(1)
-    assert roster.took_notice(A, BackendNotice()).limit is None, "no head has come"
+    assert roster.record_notice(A, BackendNotice()).limit is None, "no head has come"
     assert roster.has_limits
-    assert roster.took_notice(A, BackendNotice(tells_limit=True)).limit == RateWord(None)
+    assert roster.record_notice(A, BackendNotice(tells_limit=True)).limit == RateWord(None)
     assert not roster.has_limits
 
 
 def test_a_limit_is_part_of_the_choice(roster: Roster, clock: ManualClock) -> None:
-    roster.heard_word(ToldWord(*KEY, limit=RateWord(0.5)))
+    roster.merge_peer_notice(ToldWord(*KEY, limit=RateWord(0.5)))
     clock.advance(2_000)
-    assert isinstance(roster.choose(Wanted("ink")), Chosen)
-    refused = roster.choose(Wanted("ink"))
-    assert isinstance(refused, NoneAble)
+    assert isinstance(roster.choose(BackendQuery("ink")), Chosen)
+    refused = roster.choose(BackendQuery("ink"))
+    assert isinstance(refused, NoneAvailable)
     assert refused.reason is Reason.LIMITED
     assert 0 < refused.wait <= 2_000
-    assert not roster.has_other("ink", frozenset())
+    assert not roster.has_alternative("ink", frozenset())
     roster.put(replace(B, position=7))
-    chosen = roster.choose(Wanted("ink"))
+    chosen = roster.choose(BackendQuery("ink"))
     assert isinstance(chosen, Chosen)
     assert chosen.endpoint.id == "b"
 
 
 def test_a_request_that_was_chosen_has_its_part(roster: Roster, clock: ManualClock) -> None:
-    roster.heard_word(ToldWord(*KEY, limit=RateWord(0.5)))
+    roster.merge_peer_notice(ToldWord(*KEY, limit=RateWord(0.5)))
     clock.advance(2_000)
-    roster.choose(Wanted("ink"))
+    roster.choose(BackendQuery("ink"))
     assert roster.may_send(A)
 
 
 def test_another_start_has_no_limit(roster: Roster) -> None:
-    roster.heard_word(ToldWord(*KEY, limit=RateWord(0.05)))
+    roster.merge_peer_notice(ToldWord(*KEY, limit=RateWord(0.05)))
     roster.put(replace(A, position=7, started=9))
-    assert isinstance(roster.choose(Wanted("ink")), Chosen)
+    assert isinstance(roster.choose(BackendQuery("ink")), Chosen)
 
 
 def test_the_return_line_follows_the_limit(clock: ManualClock) -> None:
--- a/src/canvasyoke/direct/tests/test_backend_words.py
+++ b/src/canvasyoke/direct/tests/test_backend_words.py
@@ -11,7 +11,7 @@
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_words import LONGEST_BACKOFF, ToldWord
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint, EndpointState
@@ -36,15 +36,15 @@
 
 def chosen(roster: Roster) -> set[str]:
     """Return the backends among which requests are spread now."""
-    found = [roster.choose(Wanted("ink")) for _ in range(8)]
+    found = [roster.choose(BackendQuery("ink")) for _ in range(8)]
     for choice in found:
         if isinstance(choice, Chosen):
-            roster.cancelled(choice.endpoint.run)
+            roster.record_cancelled(choice.endpoint.run)
     return {choice.endpoint.id for choice in found if isinstance(choice, Chosen)}
 
 
 def test_a_backoff_holds_until_its_end(roster: Roster, clock: ManualClock) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     assert chosen(roster) == {"b"}
     clock.advance(2_999)
     assert chosen(roster) == {"b"}
@@ -55,23 +55,23 @@
 def test_where_all_ask_to_back_off_nobody_is_chosen_and_the_first_end_is_told(
     roster: Roster, clock: ManualClock
 ) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     clock.advance(1_000)
-    roster.took_notice(B, BACKOFF)
-    assert roster.choose(Wanted("ink")) == NoneAble(Reason.BACKOFF, 2_000)
-    assert roster.wait_left("ink") == 2_000
-    assert not roster.has_other("ink", frozenset())
+    roster.record_notice(B, BACKOFF)
+    assert roster.choose(BackendQuery("ink")) == NoneAvailable(Reason.BACKOFF, 2_000)
+    assert roster.time_until_available("ink") == 2_000
+    assert not roster.has_alternative("ink", frozenset())
 
 
 #: What comes after three seconds of backoff were asked for, and what is left of them then.
 AFTERWARDS: list[tuple[str, Callable[[Roster], object], int]] = [
     ("nothing", lambda _: None, 3_000),
-    ("a shorter backoff", lambda r: r.took_notice(A, BackendNotice(backoff=500)), 3_000),
-    ("a longer backoff", lambda r: r.took_notice(A, BackendNotice(backoff=4_000)), 4_000),
-    ("an answer without a word", lambda r: r.took_notice(A, BackendNotice()), 3_000),
-    ("an answer that is whole", lambda r: r.finished("a", 10, failed=False), 3_000),
-    ("a refusal without a time", lambda r: r.refused("a", 150), 3_000),
-    ("word that another run has its address", lambda r: r.moved("a"), 3_000),
+    ("a shorter backoff", lambda r: r.record_notice(A, BackendNotice(backoff=500)), 3_000),
+    ("a longer backoff", lambda r: r.record_notice(A, BackendNotice(backoff=4_000)), 4_000),
+    ("an answer without a word", lambda r: r.record_notice(A, BackendNotice()), 3_000),
+    ("an answer that is whole", lambda r: r.record_finished("a", 10, failed=False), 3_000),
+    ("a refusal without a time", lambda r: r.record_refusal("a", 150), 3_000),
+    ("word that another run has its address", lambda r: r.record_address_conflict("a"), 3_000),
     ("a list that has it", lambda r: r.merge([A, B], 6), 3_000),
     ("its entry is gone and back", lambda r: (r.remove("a", 6), r.put(at(A, 7))), 3_000),
     ("the store's word that it leaves", lambda r: r.put(at(leaving(A), 7)), 3_000),
@@ -102,7 +102,7 @@
 def test_what_ends_a_backoff(
     roster: Roster, happens: Callable[[Roster], object], left: int
 ) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     happens(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
     assert roster._words.backoff_left(now) == left
@@ -110,7 +110,7 @@
 
 
 def test_a_backoff_without_an_end_is_bounded(roster: Roster, clock: ManualClock) -> None:
-    roster.took_notice(A, BackendNotice(backoff=10**15))
+    roster.record_notice(A, BackendNotice(backoff=10**15))
     clock.advance(LONGEST_BACKOFF - 1)
     assert chosen(roster) == {"b"}
     clock.advance(1)
@@ -119,30 +119,30 @@
 
 def test_the_time_of_a_suspended_machine_counts(roster: Roster, clock: ManualClock) -> None:
     """The clock goes on while the machine does not: the backoff is over when it wakes."""
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     clock.advance(60 * SECOND)
     assert chosen(roster) == {"a", "b"}
 
 
 def _fail(roster: Roster, run: str) -> None:
     for _ in range(2):
-        roster.finished(run, 1, failed=True)
+        roster.record_finished(run, 1, failed=True)
 
 
 def _break_group(roster: Roster, run: str) -> None:
     roster.learn_group(run, "g")
-    roster.group_broke(run)
+    roster.record_group_failure(run)
 
 
 #: What speaks against a backend, and whether it is set aside when no other is left.
 REASONS: list[tuple[str, Callable[[Roster], object], bool]] = [
-    ("backoff", lambda r: r.took_notice(A, BACKOFF), False),
+    ("backoff", lambda r: r.record_notice(A, BACKOFF), False),
     ("the store says that it leaves", lambda r: r.put(at(leaving(A), 7)), False),
-    ("it says that it leaves", lambda r: r.took_notice(A, LEAVES), False),
-    ("full", lambda r: r.refused("a", 150), True),
-    ("moved", lambda r: r.moved("a"), True),
+    ("it says that it leaves", lambda r: r.record_notice(A, LEAVES), False),
+    ("full", lambda r: r.record_refusal("a", 150), True),
+    ("moved", lambda r: r.record_address_conflict("a"), True),
     ("failures", lambda r: _fail(r, "a"), True),
-    ("silence", lambda r: r.fell_silent("a"), True),
+    ("silence", lambda r: r.mark_unresponsive("a"), True),
     ("a group that stands still", lambda r: _break_group(r, "a"), True),
 ]
 
@@ -164,15 +164,15 @@
     far = dataclasses.replace(B, id="c", domain="nbo-b", address="10.0.0.4:1")
     roster.put(at(far, 7))
     for endpoint in (A, B, far):
-        roster.took_notice(endpoint, BACKOFF)
+        roster.record_notice(endpoint, BACKOFF)
     assert not roster.is_isolated()
-    assert not roster.is_away("ink")
+    assert not roster.is_service_stalled("ink")
 
 
 def test_a_suspicion_does_not_shorten_another(roster: Roster, clock: ManualClock) -> None:
     """A refusal that was under way came after word that another run has the address."""
-    roster.moved("a")
-    roster.refused("a", 150)
+    roster.record_address_conflict("a")
+    roster.record_refusal("a", 150)
     clock.advance(4_999)
     assert chosen(roster) == {"b"}
 
@@ -180,7 +180,7 @@
 #: What comes after a backend has said that it leaves, and whether it still counts as leaving.
 ORDER: list[tuple[str, Callable[[Roster], object], bool]] = [
     ("nothing", lambda _: None, True),
-    ("an answer that does not say so", lambda r: r.took_notice(A, BackendNotice()), True),
+    ("an answer that does not say so", lambda r: r.record_notice(A, BackendNotice()), True),
     ("an older list that has it ready", lambda r: r.merge([A, B], 4), True),
     ("a newer list that has it ready", lambda r: r.merge_from_store([at(A, 8), B], 9), True),
     ("newer word of the store that it is ready", lambda r: r.put(at(A, 8)), True),
@@ -199,9 +199,9 @@
     roster: Roster, happens: Callable[[Roster], object], leaves: bool, is_told: bool
 ) -> None:
     if is_told:
-        assert roster.heard_word(ToldWord("a", A.address, is_leaving=True))
+        assert roster.merge_peer_notice(ToldWord("a", A.address, is_leaving=True))
     else:
-        assert roster.took_notice(A, LEAVES).leaves
+        assert roster.record_notice(A, LEAVES).leaves
     happens(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
     assert roster.is_ready(now.run) is not leaves
@@ -211,27 +211,27 @@
 
 def test_where_all_leave_nobody_is_chosen(roster: Roster) -> None:
     for endpoint in (A, B):
-        roster.took_notice(endpoint, LEAVES)
-    assert roster.choose(Wanted("ink")) == NoneAble(Reason.LEAVING)
-    assert not roster.has_other("ink", frozenset())
+        roster.record_notice(endpoint, LEAVES)
+    assert roster.choose(BackendQuery("ink")) == NoneAvailable(Reason.LEAVING)
+    assert not roster.has_alternative("ink", frozenset())
 
 
 def test_word_is_news_once(roster: Roster) -> None:
-    assert roster.took_notice(A, LEAVES).leaves
-    assert not roster.took_notice(A, LEAVES).leaves
-    assert not roster.heard_word(ToldWord("a", A.address, is_leaving=True))
-    assert roster.words_to_tell() == [ToldWord("a", A.address, is_leaving=True)]
+    assert roster.record_notice(A, LEAVES).leaves
+    assert not roster.record_notice(A, LEAVES).leaves
+    assert not roster.merge_peer_notice(ToldWord("a", A.address, is_leaving=True))
+    assert roster.notices_to_share() == [ToldWord("a", A.address, is_leaving=True)]
 
 
 def test_words_of_runs_that_are_gone_are_not_told(roster: Roster) -> None:
-    roster.took_notice(A, LEAVES)
+    roster.record_notice(A, LEAVES)
     roster.remove("a", 6)
-    assert roster.words_to_tell() == []
+    assert roster.notices_to_share() == []
 
 
 def test_words_are_bounded(roster: Roster) -> None:
     for number in range(10_010):
-        roster.heard_word(ToldWord(f"c-{number}", "10.0.0.9:1", is_leaving=True))
+        roster.merge_peer_notice(ToldWord(f"c-{number}", "10.0.0.9:1", is_leaving=True))
     assert len(roster._words._words) == 10_000
 
 
@@ -240,12 +240,12 @@
 ) -> None:
     roster.learn_group("a", "g")
     roster.learn_pace("a", 5.0)
-    roster.took_notice(A, BACKOFF)
-    roster.took_notice(B, BACKOFF)
-    assert roster.without_group(frozenset({"ink"})) == []
+    roster.record_notice(A, BACKOFF)
+    roster.record_notice(B, BACKOFF)
+    assert roster.with_unknown_group(frozenset({"ink"})) == []
     assert roster.in_slow_groups("ink", 100) == []
     clock.advance(2_999)
     roster.learn_pace("a", 5.0)
     clock.advance(1)
-    assert roster.without_group(frozenset({"ink"})) == [B]
+    assert roster.with_unknown_group(frozenset({"ink"})) == [B]
     assert roster.in_slow_groups("ink", 100) == [A]
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -110,7 +110,7 @@
     def back_off(self, *names: str, backoff: int = 3_000) -> None:
         for endpoint in self.roster.endpoints():
             if endpoint.id in names:
-                self.roster.took_notice(endpoint, BackendNotice(backoff=backoff))
+                self.roster.record_notice(endpoint, BackendNotice(backoff=backoff))
 
     def retries_left(self) -> int:
         count = 0
@@ -229,7 +229,7 @@
     """Return a stream's call whose backend has said nothing for long, while its group goes on."""
     for endpoint in entry.roster.endpoints():
         entry.roster.learn_group(endpoint.run, "g")
-        entry.roster.stream_began(endpoint.run, 100)
+        entry.roster.record_stream_start(endpoint.run, 100)
     entry.clock.advance(1)
     call = make_call(RESUMABLE)
     call.slot = ExchangeSlot()
@@ -237,7 +237,7 @@
     entry.clock.advance(1_000)
     for endpoint in entry.roster.endpoints():
         if endpoint.id != backend:
-            entry.roster.stream_heard(endpoint.run, 50)
+            entry.roster.record_stream_event(endpoint.run, 50)
     return call
 
 
@@ -279,11 +279,11 @@
     entry = _Entry(lambda _: NotRun(NotRunCause.UNREACHABLE, "timed out"))
     for endpoint in entry.roster.endpoints():
         word = ToldWord(endpoint.run, endpoint.address, limit=RateWord(0.05))
-        entry.roster.heard_word(word)
+        entry.roster.merge_peer_notice(word)
     entry.clock.advance(20_000)
     entry.run()
     assert sorted(entry.port.reached) == sorted(NAMES)
-    assert entry.roster.wait_left("ink") == 0
+    assert entry.roster.time_until_available("ink") == 0
 
 
 def test_a_word_that_cannot_be_read_is_logged_once_and_counted_each_time() -> None:
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -56,7 +56,7 @@
 
 def cut_off(roster: Roster) -> None:
     for endpoint in roster.endpoints():
-        roster.domain_missed(endpoint)
+        roster.record_connect_failure(endpoint)
 
 
 def run(roster: Roster, send: Callable[[], Sending]) -> None:
@@ -68,7 +68,7 @@
 
 def test_a_stream_that_a_cut_breaks_off_does_not_end_the_cut(roster: Roster) -> None:
     run(roster, lambda: _BrokenStream(lambda: cut_off(roster)))
-    assert roster.cut_addresses().keys() == {"nbo-b"}
+    assert roster.probe_addresses().keys() == {"nbo-b"}
 
 
 def test_a_request_without_an_answer_does_not_end_a_cut(roster: Roster) -> None:
@@ -77,18 +77,18 @@
         return MayHaveRun("no answer came")
 
     run(roster, send)
-    assert roster.cut_addresses().keys() == {"nbo-b"}
+    assert roster.probe_addresses().keys() == {"nbo-b"}
 
 
 def test_an_answer_ends_a_cut(roster: Roster) -> None:
     cut_off(roster)
     run(roster, lambda: NotRun(NotRunCause.FULL, "refused"))
-    assert roster.cut_addresses() == {}
+    assert roster.probe_addresses() == {}
 
 
 def test_connections_that_are_not_made_cut_a_domain_off(roster: Roster) -> None:
     run(roster, lambda: NotRun(NotRunCause.UNREACHABLE, "timed out"))
-    assert roster.cut_addresses().keys() == {"nbo-b"}
+    assert roster.probe_addresses().keys() == {"nbo-b"}
 
 
 RESUMABLE = replace(ROUTE, resumable=True, max_attempts=2)
@@ -157,7 +157,7 @@
     )
     for name in "ab":
         roster.learn_group(name, "g-1")
-    roster.stream_began("a", 150)
+    roster.record_stream_start("a", 150)
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, 10_000), clock)
     forwarder = make_forwarder(CannedPort(lambda: MayHaveRun("")), roster, budget, clock)
     call = make_call(RESUMABLE)
@@ -165,7 +165,7 @@
     for _ in range(7):
         assert not forwarder.give_up_silent(call)
         clock.advance(100)
-        roster.stream_heard("a", 100)
+        roster.record_stream_event("a", 100)
     assert forwarder.give_up_silent(call)
     assert call.slot.is_shut
     assert not forwarder.give_up_silent(call)
--- a/src/canvasyoke/direct/tests/test_home_share.py
+++ b/src/canvasyoke/direct/tests/test_home_share.py
@@ -1,4 +1,4 @@
-"""How the backends of a domain are dealt to its entries."""
+"""Tests for the assignment of a domain's backends to its entries."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from canvasyoke.direct._home_share import deal_home_share
+from canvasyoke.direct._home_share import assign_home_share
 from canvasyoke.state import Endpoint, EndpointState
 
 
@@ -20,11 +20,11 @@
 def shares(entries: int, endpoints: list[Endpoint]) -> list[frozenset[str]]:
     names = [f"front-{n}" for n in range(entries)]
     return [
-        deal_home_share(own, "nbo-a", [n for n in names if n != own], endpoints) for own in names
+        assign_home_share(own, "nbo-a", [n for n in names if n != own], endpoints) for own in names
     ]
 
 
-#: Entries, backends, and the smallest and largest share.
+#: Number of entries and backends, and size of the smallest and largest share.
 DEALS = [
     ("more backends than entries", 22, 39, 1, 2),
     ("as many", 20, 20, 1, 1),
@@ -34,7 +34,9 @@
 
 
 @pytest.mark.parametrize(("entries", "count", "least", "most"), [case[1:] for case in DEALS])
-def test_each_backend_falls_to_one_entry(entries: int, count: int, least: int, most: int) -> None:
+def test_each_backend_is_assigned_to_one_entry(
+    entries: int, count: int, least: int, most: int
+) -> None:
     dealt = shares(entries, backends("ink", count))
     assert {min(len(share) for share in dealt), max(len(share) for share in dealt)} == {least, most}
     owners = Counter(backend for share in dealt for backend in share)
@@ -42,10 +44,10 @@
     assert len(owners) == (count if most else 0)
 
 
-def test_services_are_dealt_apart() -> None:
+def test_services_are_assigned_separately() -> None:
     dealt = shares(4, [*backends("ink", 8), *backends("shelf", 4)])
     assert all(Counter(b.split("-")[0] for b in share) == {"ink": 2, "shelf": 1} for share in dealt)
 
 
-def test_other_domains_backends_are_not_dealt() -> None:
+def test_backends_of_other_domains_are_not_assigned() -> None:
     assert shares(2, backends("ink", 8, "nbo-b")) == [frozenset(), frozenset()]
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -148,7 +148,7 @@
     """Have a backend say to one entry that it leaves."""
     entry = fleet.entries[name]
     endpoint = next((e for e in entry.roster.endpoints() if e.id == backend), None)
-    if endpoint is not None and entry.roster.took_notice(endpoint, LEAVES).leaves:
+    if endpoint is not None and entry.roster.record_notice(endpoint, LEAVES).leaves:
         entry.peers.tell_word(ToldWord(endpoint.run, endpoint.address, is_leaving=True))
 
 
@@ -188,7 +188,7 @@
     for _ in range(20):
         busy.peers._budget.saw_request("ink")
     assert busy.peers._shares.share("ink").part < 0.3, "nothing is told without a limit"
-    busy.roster.heard_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
+    busy.roster.merge_peer_notice(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
     busy.peers.tell_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
     for _ in range(SETTLE_TURNS):
         busy.peers._budget.saw_request("ink")
@@ -204,7 +204,7 @@
     for rate, holds in ((7.0, True), (None, False)):
         fleet.clock.advance(10)
         told = ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(rate))
-        entry.roster.heard_word(told)
+        entry.roster.merge_peer_notice(told)
         entry.peers.tell_word(told)
         fleet.pass_turns(SETTLE_TURNS)
         assert {e.roster.has_limits for e in fleet.entries.values()} == {holds}
@@ -213,7 +213,7 @@
 def test_loads_are_told_within_the_domain_only() -> None:
     fleet = started(SIZES)
     first = fleet.entries[fleet.places[0].name]
-    first.roster._members["b-1"].own = 2
+    first.roster._members["b-1"].own_requests = 2
     fleet.pass_turns(SETTLE_TURNS // 2)
     heard = {
         e.place.domain
@@ -331,7 +331,7 @@
             assert known == true, name
             runs = {e.run for e in entry.roster.endpoints()}
             assert runs == {e.run for e in self.fleet.truth.values()}, name
-        told = {frozenset(e.roster.words_to_tell()) for e in self.fleet.entries.values()}
+        told = {frozenset(e.roster.notices_to_share()) for e in self.fleet.entries.values()}
         assert len(told) == 1
 
     @invariant()
--- a/tests/test_leaving_backends.py
+++ b/tests/test_leaving_backends.py
@@ -22,7 +22,7 @@
 
 import pytest
 
-from canvasyoke.direct._choice import Chosen, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen
 from canvasyoke.direct._endpoint_follower import EndpointFollower
 from canvasyoke.direct._known_backends import BackendChange
 from canvasyoke.direct._roster import Roster
@@ -110,11 +110,11 @@
         """Return the backends that requests go to."""
         taken: set[str] = set()
         while True:
-            found = self.roster.choose(Wanted("shelf", frozenset(taken)))
+            found = self.roster.choose(BackendQuery("shelf", frozenset(taken)))
             if not isinstance(found, Chosen):
                 return taken
             taken.add(found.endpoint.id)
-            self.roster.cancelled(found.endpoint.id)
+            self.roster.record_cancelled(found.endpoint.id)
 
 
 #: What stands in the store beside sound entries, by what is wrong with it.
