--- a/src/canvasyoke/direct/tests/test_home_share.py
+++ b/src/canvasyoke/direct/tests/test_home_share.py
@@ -25,7 +25,7 @@
 
 
 #: Number of entries and backends, and size of the smallest and largest share.
-DEALS = [
+ASSIGNMENTS = [
     ("more backends than entries", 22, 39, 1, 2),
     ("as many", 20, 20, 1, 1),
     ("one entry has all", 1, 7, 7, 7),
@@ -33,20 +33,25 @@
 ]
 
 
-@pytest.mark.parametrize(("entries", "count", "least", "most"), [case[1:] for case in DEALS])
+@pytest.mark.parametrize(("entries", "count", "least", "most"), [case[1:] for case in ASSIGNMENTS])
 def test_each_backend_is_assigned_to_one_entry(
     entries: int, count: int, least: int, most: int
 ) -> None:
-    dealt = shares(entries, backends("ink", count))
-    assert {min(len(share) for share in dealt), max(len(share) for share in dealt)} == {least, most}
-    owners = Counter(backend for share in dealt for backend in share)
+    assigned = shares(entries, backends("ink", count))
+    assert {min(len(share) for share in assigned), max(len(share) for share in assigned)} == {
+        least,
+        most,
+    }
+    owners = Counter(backend for share in assigned for backend in share)
     assert set(owners.values()) <= {1}
     assert len(owners) == (count if most else 0)
 
 
 def test_services_are_assigned_separately() -> None:
-    dealt = shares(4, [*backends("ink", 8), *backends("shelf", 4)])
-    assert all(Counter(b.split("-")[0] for b in share) == {"ink": 2, "shelf": 1} for share in dealt)
+    assigned = shares(4, [*backends("ink", 8), *backends("shelf", 4)])
+    assert all(
+        Counter(b.split("-")[0] for b in share) == {"ink": 2, "shelf": 1} for share in assigned
+    )
 
 
 def test_backends_of_other_domains_are_not_assigned() -> None:
