--- a/src/canvasyoke/direct/_backend_exchange.py
+++ b/src/canvasyoke/direct/_backend_exchange.py
@@ -55,9 +55,9 @@
     def peer_knows_up_to(self, position: int, age: int, session: Session) -> None:
         """Handle the position up to which another entry knows all changes."""
         now = self._clock.now()
-        if session in self._synced and not self._roster.wants_list:
-            self._roster.knows_up_to(position)
-            self._roster.confirmed(age)
+        if session in self._synced and not self._roster.needs_list:
+            self._roster.advance_position(position)
+            self._roster.confirm_list(age)
         elif position and now - self._list_requested_at >= _LIST_REQUEST_INTERVAL:
             self._list_requested_at = now
             session.send(BackendsWanted())
@@ -92,7 +92,7 @@
     def receive_news(self, session: Session, news: BackendNews) -> None:
         """Apply another entry's change of a backend, and forward it or answer with a correction."""
         change = BackendChange(to_endpoint(news), news.gone, news.revision, news.was_lost)
-        if not self._roster.hear(change):
+        if not self._roster.apply_change(change):
             answer = self._roster.refute(change)
             if answer is not None:
                 session.send(to_backend_news(answer))
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -82,7 +82,7 @@
                 self._pause(IDLE)
                 continue
             self._contact.resumes()
-            if self._roster.wants_list and self._roster.doubted:
+            if self._roster.needs_list and self._roster.doubted:
                 position = 0
             match self._fetch(position):
                 case EndpointList() as seen:
@@ -112,7 +112,7 @@
     def _mark_in_sync(self) -> None:
         """Record a usable answer: the list is in sync with the store."""
         self._contact.answered()
-        self._roster.confirmed()
+        self._roster.confirm_list()
 
     def _watch_timeout(self) -> int:
         """Return the timeout of the next watch, which ends when the next removal is due."""
@@ -168,7 +168,7 @@
                 case EndpointGone():
                     self._update_unreadable({**self._unreadable, change.id: change.fault})
                     self._remove(change)
-        self._roster.knows_up_to(seen.position)
+        self._roster.advance_position(seen.position)
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
         self._deferred.pop(endpoint.id, None)
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -33,7 +33,7 @@
     ErrorAnswer,
     IncompleteAnswer,
 )
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._crash_detector import BackendLiveness, CrashDetector
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._refusals import MIN_ATTEMPT_TIME, RefusalPolicy
@@ -90,7 +90,7 @@
                 yield from self._finish(call, self._refuse_quarantined(call))
                 return
             chosen = self._choose(call)
-            if isinstance(chosen, NoneAble):
+            if isinstance(chosen, NoneAvailable):
                 detail = f"no backend can take it: {chosen}"
                 yield from self._finish(call, self._refusals.final_answer(call, detail, chosen))
                 return
@@ -126,14 +126,14 @@
         detail = f"backends ended under this request; quarantined as {call.fingerprint}"
         return IncompleteAnswer(detail) if call.delivered else ErrorAnswer(_BAD_GATEWAY, detail)
 
-    def _choose(self, call: DirectCall) -> Chosen | NoneAble:
+    def _choose(self, call: DirectCall) -> Chosen | NoneAvailable:
         if call.deadline - self._clock.now() < MIN_ATTEMPT_TIME:
-            return NoneAble(Reason.DEADLINE)
+            return NoneAvailable(Reason.DEADLINE)
         return self._roster.choose(
-            Wanted(
+            BackendQuery(
                 service=call.service,
                 tried=call.attempted_runs,
-                patience=_max_wait(call),
+                max_wait=_max_wait(call),
             )
         )
 
@@ -155,7 +155,7 @@
         self._words.handle(endpoint, sent.notice)
         self._record_reachability(call, endpoint, sent)
         if isinstance(sent, NotRun) and not sent.has_arrived:
-            self._roster.was_not_sent(endpoint.run)
+            self._roster.record_not_sent(endpoint.run)
         else:
             call.sent_to.add(endpoint.run)
         failure: NotRun | MayHaveRun | None
@@ -201,9 +201,9 @@
         if isinstance(sent, MayHaveRun):
             return
         if not isinstance(sent, NotRun) or sent.cause is not NotRunCause.UNREACHABLE:
-            self._roster.domain_reached(endpoint.domain)
+            self._roster.record_connect_success(endpoint.domain)
         elif not call.is_disconnected():
-            self._roster.domain_missed(endpoint)
+            self._roster.record_connect_failure(endpoint)
 
     def _outbound(self, call: DirectCall) -> OutboundRequest:
         return OutboundRequest(
@@ -225,24 +225,24 @@
         backend = attempt.run
         if isinstance(failure, NotRun) and failure.has_arrived:
             if failure.cause is NotRunCause.MOVED:
-                self._roster.moved(backend)
+                self._roster.record_address_conflict(backend)
             else:
-                self._roster.refused(backend, _FULL_BACKOFF)
+                self._roster.record_refusal(backend, _FULL_BACKOFF)
         elif (
             _is_withdrawn(failure)
             or call.is_moved
             or call.is_unresponsive
             or (failure is not None and call.is_disconnected())
         ):
-            self._roster.cancelled(backend)
+            self._roster.record_cancelled(backend)
         else:
-            self._roster.finished(backend, attempt.duration, failed=failure is not None)
+            self._roster.record_finished(backend, attempt.duration, failed=failure is not None)
         if isinstance(failure, NotRun) and failure.at_fault not in ("", attempt.chosen.endpoint.id):
-            self._roster.group_broke(backend)
+            self._roster.record_group_failure(backend)
         if isinstance(failure, MayHaveRun):
             call.may_have_run = True
             if call.route.is_stream and not _closed_by_entry(call):
-                self._roster.group_broke(backend)
+                self._roster.record_group_failure(backend)
         call.attempts.append(attempt)
 
     def _finish(
--- a/src/canvasyoke/direct/_refusals.py
+++ b/src/canvasyoke/direct/_refusals.py
@@ -9,7 +9,7 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.backend import MayHaveRun, NotRun, NotRunCause
 from canvasyoke.direct._call import DirectCall, ErrorAnswer, IncompleteAnswer
-from canvasyoke.direct._choice import NoneAble
+from canvasyoke.direct._choice import NoneAvailable
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 
@@ -73,7 +73,7 @@
         self._scheduler = RetryScheduler(clock)
 
     def final_answer(
-        self, call: DirectCall, detail: str, cause: NotRun | MayHaveRun | NoneAble
+        self, call: DirectCall, detail: str, cause: NotRun | MayHaveRun | NoneAvailable
     ) -> ErrorAnswer | IncompleteAnswer:
         """Return the final response to a request that no backend answered."""
         if call.delivered:
@@ -85,31 +85,31 @@
             return ErrorAnswer(_BAD_REQUEST, detail)
         return ErrorAnswer(_UNAVAILABLE, detail, retry_after=self._retry_after(call, cause))
 
-    def _retry_after(self, call: DirectCall, cause: NotRun | MayHaveRun | NoneAble) -> int:
+    def _retry_after(self, call: DirectCall, cause: NotRun | MayHaveRun | NoneAvailable) -> int:
         """Return ``Retry-After`` in milliseconds, depending on why the request did not run.
 
         A backoff or limit announced by backends is reported in full, even past the deadline of the
         caller: with a shorter time it would return only to be refused again.
         """
-        wait = self._roster.wait_left(call.service)
-        if isinstance(cause, NoneAble) and cause.reason is Reason.LIMITED:
+        wait = self._roster.time_until_available(call.service)
+        if isinstance(cause, NoneAvailable) and cause.reason is Reason.LIMITED:
             return self._scheduler.assign(
-                call.service, wait, self._roster.limited_part(call.service)
+                call.service, wait, self._roster.rate_limit_share(call.service)
             )
         if wait:
             return wait + self._rng.randint(
                 1, max(_MIN_BACKOFF_SPREAD, round(wait * _BACKOFF_SPREAD))
             )
         bounds = _RETRY_FULL
-        if self._roster.is_away(call.service) or _recovers_slowly(call, cause):
+        if self._roster.is_service_stalled(call.service) or _recovers_slowly(call, cause):
             bounds = _RETRY_UNAVAILABLE
-        elif isinstance(cause, NoneAble) and cause.reason is Reason.OVERLOADED:
+        elif isinstance(cause, NoneAvailable) and cause.reason is Reason.OVERLOADED:
             bounds = _RETRY_OVERLOADED
         longest = round((call.deadline - self._clock.now()) * _RETRY_FRACTION)
         return max(1, min(self._rng.randint(*bounds), longest))
 
 
-def _recovers_slowly(call: DirectCall, cause: NotRun | MayHaveRun | NoneAble) -> bool:
+def _recovers_slowly(call: DirectCall, cause: NotRun | MayHaveRun | NoneAvailable) -> bool:
     """Tell whether the cause of a refusal takes seconds to recover.
 
     This holds if a rank of the group of the backend is missing, and if the list of backends is
--- a/src/canvasyoke/direct/_retries.py
+++ b/src/canvasyoke/direct/_retries.py
@@ -28,7 +28,7 @@
             return "the route's attempts are used up"
         if call.deadline - self._clock.now() < MIN_ATTEMPT_TIME:
             return "no time is left"
-        if not self._roster.has_other(call.service, call.attempted_runs):
+        if not self._roster.has_alternative(call.service, call.attempted_runs):
             return "no other backend takes requests"
         if isinstance(failure, NotRun) and not failure.has_arrived:
             return ""  # the request did not reach a backend, so no retry is charged
@@ -48,7 +48,7 @@
     def should_move(self, call: DirectCall) -> bool:
         """Tell whether to move a stream from a backend that slows down its group."""
         return (
-            self._roster.crawls(call.backend)
+            self._roster.should_migrate_streams(call.backend)
             and self._may_go_elsewhere(call)
             and self._charge_retry(call)
         )
@@ -74,7 +74,7 @@
         return (
             call.route.repeatable
             and len(call.sent_to | {call.backend}) < call.route.max_attempts
-            and self._roster.has_other(call.service, call.attempted_runs | {call.backend})
+            and self._roster.has_alternative(call.service, call.attempted_runs | {call.backend})
         )
 
     def _charge_retry(self, call: DirectCall) -> bool:
--- a/src/canvasyoke/direct/_word_exchange.py
+++ b/src/canvasyoke/direct/_word_exchange.py
@@ -29,13 +29,13 @@
 
     def opened(self, session: Session) -> None:
         """Send a newly linked entry all notices that are still in effect."""
-        notices = self._roster.words_to_tell()
+        notices = self._roster.notices_to_share()
         if notices:
             session.send(BackendWords([_to_message(notice) for notice in notices]))
 
     def receive(self, session: Session, message: BackendWords) -> None:
         """Apply what another entry has shared, and forward what was new."""
-        new = [word for word in message.words if self._roster.heard_word(_to_notice(word))]
+        new = [word for word in message.words if self._roster.merge_peer_notice(_to_notice(word))]
         if not new:
             return
         self._broadcast(BackendWords(new), session)
--- a/src/canvasyoke/direct/_word_keeper.py
+++ b/src/canvasyoke/direct/_word_keeper.py
@@ -36,7 +36,7 @@
         """Apply the notice in the head of an answer, whatever its status."""
         for field in notice.unreadable:
             self._report_unreadable(endpoint.run, field)
-        change = self._roster.took_notice(endpoint, notice)
+        change = self._roster.record_notice(endpoint, notice)
         if change.backoff:
             _log.info(
                 "backend asks to back off",
--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/need_model.py
@@ -18,7 +18,7 @@
 from canvasyoke.direct._backend_words import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import Attempt, DirectCall, ErrorAnswer
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._peer_loads import ToldLoad
 from canvasyoke.direct._refusals import RefusalPolicy
@@ -164,7 +164,7 @@
         def report() -> None:
             load = ToldLoad(self.clock.now(), entry.roster.own_load())
             demands = {_SERVICE: entry.budget.request_rate(_SERVICE)}
-            self._broadcast(entry, lambda other: other.roster.peer_load(entry.name, load))
+            self._broadcast(entry, lambda other: other.roster.update_peer_load(entry.name, load))
             self._broadcast(entry, lambda other: other.shares.report_demand(entry.name, demands))
             self._schedule(_REPORT_INTERVAL, report)
 
@@ -193,7 +193,7 @@
     def _choose(
         self, entry: _Entry, call: DirectCall, tried: frozenset[str], is_retry: bool
     ) -> None:
-        chosen = entry.roster.choose(Wanted(_SERVICE, tried, _PATIENCE))
+        chosen = entry.roster.choose(BackendQuery(_SERVICE, tried, _PATIENCE))
         if isinstance(chosen, Chosen):
             self._schedule(
                 _BACKEND_DELAY, lambda: self._arrive(entry, call, chosen, tried, is_retry)
@@ -221,14 +221,14 @@
         notice = BackendNotice(backoff=overload.backoff if self.scenario.reads_notices else 0)
 
         def refused() -> None:
-            change = entry.roster.took_notice(backend.endpoint, notice)
-            entry.roster.refused(backend.endpoint.run, _REFUSAL_PAUSE)
+            change = entry.roster.record_notice(backend.endpoint, notice)
+            entry.roster.record_refusal(backend.endpoint.run, _REFUSAL_PAUSE)
             call.attempts.append(Attempt(chosen, "refused", 2 * _BACKEND_DELAY))
             if change.backoff and self.scenario.shares_notices:
                 shared = SharedNotice(
                     backend.endpoint.run, backend.endpoint.address, change.backoff
                 )
-                self._broadcast(entry, lambda other: other.roster.heard_word(shared))
+                self._broadcast(entry, lambda other: other.roster.merge_peer_notice(shared))
             self._retry(entry, call, tried | {backend.endpoint.run}, is_retry)
 
         self._schedule(_BACKEND_DELAY, refused)
@@ -242,11 +242,11 @@
 
         def answered() -> None:
             notice = BackendNotice(rate_limit=limit, tells_limit=True)
-            change = entry.roster.took_notice(backend.endpoint, notice)
+            change = entry.roster.record_notice(backend.endpoint, notice)
             if change.limit is not None and self.scenario.shares_notices:
                 run, address = backend.endpoint.run, backend.endpoint.address
                 shared = SharedNotice(run, address, limit=change.limit)
-                self._broadcast(entry, lambda other: other.roster.heard_word(shared))
+                self._broadcast(entry, lambda other: other.roster.merge_peer_notice(shared))
 
         self._schedule(_BACKEND_DELAY, answered)
 
@@ -263,7 +263,7 @@
     def _retry(
         self, entry: _Entry, call: DirectCall, tried: frozenset[str], is_retry: bool
     ) -> None:
-        may_retry = len(tried) < 2 and entry.roster.has_other(_SERVICE, tried)
+        may_retry = len(tried) < 2 and entry.roster.has_alternative(_SERVICE, tried)
         if may_retry and entry.budget.spend(_SERVICE):
             self._choose(entry, call, tried, is_retry)
         else:
@@ -271,7 +271,7 @@
             self._refuse(entry, call, cause, is_retry)
 
     def _refuse(
-        self, entry: _Entry, call: DirectCall, cause: NotRun | NoneAble, is_retry: bool
+        self, entry: _Entry, call: DirectCall, cause: NotRun | NoneAvailable, is_retry: bool
     ) -> None:
         if is_retry:
             self.result.refused_twice += 1
@@ -290,7 +290,7 @@
 
         def end() -> None:
             backend.running -= 1
-            entry.roster.finished(backend.endpoint.run, round(duration), failed=False)
+            entry.roster.record_finished(backend.endpoint.run, round(duration), failed=False)
             self.result.answered += 1
             if backend.waiting:
                 backend.waiting.pop(0)()
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -11,7 +11,7 @@
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_limits import BackendLimits, RateLimit, Share
 from canvasyoke.direct._backend_words import SharedNotice
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._refusals import RetryScheduler
 from canvasyoke.direct._roster import Roster
@@ -149,43 +149,43 @@
 
 
 def test_an_answer_without_a_limit_lifts_it(roster: Roster, clock: ManualClock) -> None:
-    assert roster.took_notice(A, BackendNotice(rate_limit=2.0, tells_limit=True)).limit
+    assert roster.record_notice(A, BackendNotice(rate_limit=2.0, tells_limit=True)).limit
     assert roster.has_limits
     clock.advance(1)
-    assert roster.took_notice(A, BackendNotice()).limit is None, (
+    assert roster.record_notice(A, BackendNotice()).limit is None, (
         "the response head was not received"
     )
     assert roster.has_limits
-    assert roster.took_notice(A, BackendNotice(tells_limit=True)).limit == RateLimit(None)
+    assert roster.record_notice(A, BackendNotice(tells_limit=True)).limit == RateLimit(None)
     assert not roster.has_limits
 
 
 def test_a_backend_at_its_limit_is_not_chosen(roster: Roster, clock: ManualClock) -> None:
-    roster.heard_word(SharedNotice(*KEY, limit=RateLimit(0.5)))
+    roster.merge_peer_notice(SharedNotice(*KEY, limit=RateLimit(0.5)))
     clock.advance(2_000)
-    assert isinstance(roster.choose(Wanted("ink")), Chosen)
-    refused = roster.choose(Wanted("ink"))
-    assert isinstance(refused, NoneAble)
+    assert isinstance(roster.choose(BackendQuery("ink")), Chosen)
+    refused = roster.choose(BackendQuery("ink"))
+    assert isinstance(refused, NoneAvailable)
     assert refused.reason is Reason.LIMITED
     assert 0 < refused.wait <= 2_000
-    assert not roster.has_other("ink", frozenset())
+    assert not roster.has_alternative("ink", frozenset())
     roster.put(replace(B, position=7))
-    chosen = roster.choose(Wanted("ink"))
+    chosen = roster.choose(BackendQuery("ink"))
     assert isinstance(chosen, Chosen)
     assert chosen.endpoint.id == "b"
 
 
 def test_a_chosen_request_may_be_sent_at_the_limit(roster: Roster, clock: ManualClock) -> None:
-    roster.heard_word(SharedNotice(*KEY, limit=RateLimit(0.5)))
+    roster.merge_peer_notice(SharedNotice(*KEY, limit=RateLimit(0.5)))
     clock.advance(2_000)
-    roster.choose(Wanted("ink"))
+    roster.choose(BackendQuery("ink"))
     assert roster.may_send(A)
 
 
 def test_a_restarted_backend_has_no_limit(roster: Roster) -> None:
-    roster.heard_word(SharedNotice(*KEY, limit=RateLimit(0.05)))
+    roster.merge_peer_notice(SharedNotice(*KEY, limit=RateLimit(0.05)))
     roster.put(replace(A, position=7, started=9))
-    assert isinstance(roster.choose(Wanted("ink")), Chosen)
+    assert isinstance(roster.choose(BackendQuery("ink")), Chosen)
 
 
 def test_the_return_line_follows_the_limit(clock: ManualClock) -> None:
--- a/src/canvasyoke/direct/tests/test_backend_words.py
+++ b/src/canvasyoke/direct/tests/test_backend_words.py
@@ -11,7 +11,7 @@
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_words import MAX_BACKOFF, SharedNotice
-from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint, EndpointState
@@ -36,15 +36,15 @@
 
 def chosen(roster: Roster) -> set[str]:
     """Return the ids of the backends that are chosen now."""
-    found = [roster.choose(Wanted("ink")) for _ in range(8)]
+    found = [roster.choose(BackendQuery("ink")) for _ in range(8)]
     for choice in found:
         if isinstance(choice, Chosen):
-            roster.cancelled(choice.endpoint.run)
+            roster.record_cancelled(choice.endpoint.run)
     return {choice.endpoint.id for choice in found if isinstance(choice, Chosen)}
 
 
 def test_a_backoff_is_in_effect_until_its_end(roster: Roster, clock: ManualClock) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     assert chosen(roster) == {"b"}
     clock.advance(2_999)
     assert chosen(roster) == {"b"}
@@ -55,23 +55,23 @@
 def test_if_all_back_off_none_is_chosen_and_the_earliest_end_is_returned(
     roster: Roster, clock: ManualClock
 ) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     clock.advance(1_000)
-    roster.took_notice(B, BACKOFF)
-    assert roster.choose(Wanted("ink")) == NoneAble(Reason.BACKOFF, 2_000)
-    assert roster.wait_left("ink") == 2_000
-    assert not roster.has_other("ink", frozenset())
+    roster.record_notice(B, BACKOFF)
+    assert roster.choose(BackendQuery("ink")) == NoneAvailable(Reason.BACKOFF, 2_000)
+    assert roster.time_until_available("ink") == 2_000
+    assert not roster.has_alternative("ink", frozenset())
 
 
 #: Events after a backoff of three seconds was requested, and the remaining milliseconds.
 AFTER_BACKOFF: list[tuple[str, Callable[[Roster], object], int]] = [
     ("nothing", lambda _: None, 3_000),
-    ("a shorter backoff", lambda r: r.took_notice(A, BackendNotice(backoff=500)), 3_000),
-    ("a longer backoff", lambda r: r.took_notice(A, BackendNotice(backoff=4_000)), 4_000),
-    ("an answer without a word", lambda r: r.took_notice(A, BackendNotice()), 3_000),
-    ("an answer that is whole", lambda r: r.finished("a", 10, failed=False), 3_000),
-    ("a refusal without a time", lambda r: r.refused("a", 150), 3_000),
-    ("word that another run has its address", lambda r: r.moved("a"), 3_000),
+    ("a shorter backoff", lambda r: r.record_notice(A, BackendNotice(backoff=500)), 3_000),
+    ("a longer backoff", lambda r: r.record_notice(A, BackendNotice(backoff=4_000)), 4_000),
+    ("an answer without a word", lambda r: r.record_notice(A, BackendNotice()), 3_000),
+    ("an answer that is whole", lambda r: r.record_finished("a", 10, failed=False), 3_000),
+    ("a refusal without a time", lambda r: r.record_refusal("a", 150), 3_000),
+    ("word that another run has its address", lambda r: r.record_address_conflict("a"), 3_000),
     ("a list that has it", lambda r: r.merge([A, B], 6), 3_000),
     ("its entry is gone and back", lambda r: (r.remove("a", 6), r.put(at(A, 7))), 3_000),
     ("the store's word that it leaves", lambda r: r.put(at(leaving(A), 7)), 3_000),
@@ -100,7 +100,7 @@
     ("event", "left"), [case[1:] for case in AFTER_BACKOFF], ids=[case[0] for case in AFTER_BACKOFF]
 )
 def test_what_ends_a_backoff(roster: Roster, event: Callable[[Roster], object], left: int) -> None:
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     event(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
     assert roster._words.remaining_backoff(now) == left
@@ -108,7 +108,7 @@
 
 
 def test_an_excessive_backoff_is_bounded(roster: Roster, clock: ManualClock) -> None:
-    roster.took_notice(A, BackendNotice(backoff=10**15))
+    roster.record_notice(A, BackendNotice(backoff=10**15))
     clock.advance(MAX_BACKOFF - 1)
     assert chosen(roster) == {"b"}
     clock.advance(1)
@@ -119,30 +119,30 @@
     roster: Roster, clock: ManualClock
 ) -> None:
     """The clock includes the time of suspension, so the backoff is over on resume."""
-    roster.took_notice(A, BACKOFF)
+    roster.record_notice(A, BACKOFF)
     clock.advance(60 * SECOND)
     assert chosen(roster) == {"a", "b"}
 
 
 def _fail(roster: Roster, run: str) -> None:
     for _ in range(2):
-        roster.finished(run, 1, failed=True)
+        roster.record_finished(run, 1, failed=True)
 
 
 def _break_group(roster: Roster, run: str) -> None:
     roster.learn_group(run, "g")
-    roster.group_broke(run)
+    roster.record_group_failure(run)
 
 
 #: Reasons against choosing a backend, and whether they are ignored when no other is left.
 REASONS: list[tuple[str, Callable[[Roster], object], bool]] = [
-    ("backoff", lambda r: r.took_notice(A, BACKOFF), False),
+    ("backoff", lambda r: r.record_notice(A, BACKOFF), False),
     ("the store says that it leaves", lambda r: r.put(at(leaving(A), 7)), False),
-    ("it says that it leaves", lambda r: r.took_notice(A, LEAVES), False),
-    ("full", lambda r: r.refused("a", 150), True),
-    ("moved", lambda r: r.moved("a"), True),
+    ("it says that it leaves", lambda r: r.record_notice(A, LEAVES), False),
+    ("full", lambda r: r.record_refusal("a", 150), True),
+    ("moved", lambda r: r.record_address_conflict("a"), True),
     ("failures", lambda r: _fail(r, "a"), True),
-    ("silence", lambda r: r.fell_silent("a"), True),
+    ("silence", lambda r: r.mark_unresponsive("a"), True),
     ("a group that stands still", lambda r: _break_group(r, "a"), True),
 ]
 
@@ -164,15 +164,15 @@
     far = dataclasses.replace(B, id="c", domain="nbo-b", address="10.0.0.4:1")
     roster.put(at(far, 7))
     for endpoint in (A, B, far):
-        roster.took_notice(endpoint, BACKOFF)
+        roster.record_notice(endpoint, BACKOFF)
     assert not roster.is_isolated()
-    assert not roster.is_away("ink")
+    assert not roster.is_service_stalled("ink")
 
 
 def test_a_suspicion_does_not_shorten_another(roster: Roster, clock: ManualClock) -> None:
     """Guards against a late refusal replacing the longer penalty for a moved address."""
-    roster.moved("a")
-    roster.refused("a", 150)
+    roster.record_address_conflict("a")
+    roster.record_refusal("a", 150)
     clock.advance(4_999)
     assert chosen(roster) == {"b"}
 
@@ -180,7 +180,7 @@
 #: Events after a backend has announced leaving, and whether it still counts as leaving.
 AFTER_LEAVING: list[tuple[str, Callable[[Roster], object], bool]] = [
     ("nothing", lambda _: None, True),
-    ("an answer that does not say so", lambda r: r.took_notice(A, BackendNotice()), True),
+    ("an answer that does not say so", lambda r: r.record_notice(A, BackendNotice()), True),
     ("an older list that has it ready", lambda r: r.merge([A, B], 4), True),
     ("a newer list that has it ready", lambda r: r.merge_from_store([at(A, 8), B], 9), True),
     ("newer word of the store that it is ready", lambda r: r.put(at(A, 8)), True),
@@ -201,9 +201,9 @@
     roster: Roster, event: Callable[[Roster], object], leaves: bool, is_shared: bool
 ) -> None:
     if is_shared:
-        assert roster.heard_word(SharedNotice("a", A.address, is_leaving=True))
+        assert roster.merge_peer_notice(SharedNotice("a", A.address, is_leaving=True))
     else:
-        assert roster.took_notice(A, LEAVES).leaves
+        assert roster.record_notice(A, LEAVES).leaves
     event(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
     assert roster.is_ready(now.run) is not leaves
@@ -213,27 +213,27 @@
 
 def test_if_all_are_leaving_none_is_chosen(roster: Roster) -> None:
     for endpoint in (A, B):
-        roster.took_notice(endpoint, LEAVES)
-    assert roster.choose(Wanted("ink")) == NoneAble(Reason.LEAVING)
-    assert not roster.has_other("ink", frozenset())
+        roster.record_notice(endpoint, LEAVES)
+    assert roster.choose(BackendQuery("ink")) == NoneAvailable(Reason.LEAVING)
+    assert not roster.has_alternative("ink", frozenset())
 
 
 def test_a_notice_is_reported_as_changed_once(roster: Roster) -> None:
-    assert roster.took_notice(A, LEAVES).leaves
-    assert not roster.took_notice(A, LEAVES).leaves
-    assert not roster.heard_word(SharedNotice("a", A.address, is_leaving=True))
-    assert roster.words_to_tell() == [SharedNotice("a", A.address, is_leaving=True)]
+    assert roster.record_notice(A, LEAVES).leaves
+    assert not roster.record_notice(A, LEAVES).leaves
+    assert not roster.merge_peer_notice(SharedNotice("a", A.address, is_leaving=True))
+    assert roster.notices_to_share() == [SharedNotice("a", A.address, is_leaving=True)]
 
 
 def test_notices_of_removed_runs_are_not_shared(roster: Roster) -> None:
-    roster.took_notice(A, LEAVES)
+    roster.record_notice(A, LEAVES)
     roster.remove("a", 6)
-    assert roster.words_to_tell() == []
+    assert roster.notices_to_share() == []
 
 
 def test_the_number_of_notices_is_bounded(roster: Roster) -> None:
     for number in range(10_010):
-        roster.heard_word(SharedNotice(f"c-{number}", "10.0.0.9:1", is_leaving=True))
+        roster.merge_peer_notice(SharedNotice(f"c-{number}", "10.0.0.9:1", is_leaving=True))
     assert len(roster._words._states) == 10_000
 
 
@@ -242,12 +242,12 @@
 ) -> None:
     roster.learn_group("a", "g")
     roster.learn_pace("a", 5.0)
-    roster.took_notice(A, BACKOFF)
-    roster.took_notice(B, BACKOFF)
-    assert roster.without_group(frozenset({"ink"})) == []
+    roster.record_notice(A, BACKOFF)
+    roster.record_notice(B, BACKOFF)
+    assert roster.with_unknown_group(frozenset({"ink"})) == []
     assert roster.in_slow_groups("ink", 100) == []
     clock.advance(2_999)
     roster.learn_pace("a", 5.0)
     clock.advance(1)
-    assert roster.without_group(frozenset({"ink"})) == [B]
+    assert roster.with_unknown_group(frozenset({"ink"})) == [B]
     assert roster.in_slow_groups("ink", 100) == [A]
