--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -22,8 +22,8 @@
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
 from canvasyoke.direct._member import Member
 from canvasyoke.direct._pass_over import Sources
-from canvasyoke.direct._peer_loads import PeerLoads, ToldLoad
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._peer_loads import PeerLoad, PeerLoads
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, StorePosition
 
 #: Milliseconds over which a report of load fades to nothing: requests of others that it
@@ -83,7 +83,7 @@
     _durations: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self._known = KnownBackends(StoreReturn(self.clock))
+        self._known = KnownBackends(StoreRestore(self.clock))
         self._groups = RankGroups(self.clock)
         self._health = BackendHealth(self.clock)
         self._words = BackendWords(self.clock, BackendLimits(self.clock, self.rng))
@@ -229,12 +229,12 @@
             endpoints = [member.endpoint for member in self._members.values()]
             self._home = deal_home_share(self._fleet.own, self.domain, self._fleet.near, endpoints)
 
-    def peer_load(self, peer: str, load: ToldLoad) -> None:
+    def peer_load(self, peer: str, load: PeerLoad) -> None:
         """Take note of another entry's requests under way."""
         with self._lock:
-            self._peers.took(peer, load, self.clock.now())
+            self._peers.update(peer, load, self.clock.now())
 
-    def unrelayed_loads(self) -> dict[str, ToldLoad]:
+    def unrelayed_loads(self) -> dict[str, PeerLoad]:
         """Return the other entries' loads that came since the last call."""
         with self._lock:
             return self._peers.take_unrelayed()
@@ -242,7 +242,7 @@
     def peer_left(self, peer: str) -> None:
         """Forget another entry's load."""
         with self._lock:
-            self._peers.left(peer)
+            self._peers.remove(peer)
 
     def ids(self) -> frozenset[str]:
         """Return the ids of all backends known."""
@@ -264,7 +264,7 @@
         return member.own + self._others(member)
 
     def _others(self, member: Member) -> int:
-        told = self._peers.of(member.endpoint.run)
+        told = self._peers.requests_at(member.endpoint.run)
         if self._fleet.hears_all and self._peers.entries:
             return told
         # Entries of other domains do not tell their load here.
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -9,8 +9,14 @@
 from canvasyoke._clock import Clock
 from canvasyoke.direct._known_backends import BackendChange
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._store_follower import IDLE, PAUSE, PAUSE_AFTER_NEWS, WATCH, StoreFollower
-from canvasyoke.direct._store_return import RETURN_TIME
+from canvasyoke.direct._store_follower import (
+    IDLE_INTERVAL,
+    PAUSE_AFTER_CHANGES,
+    PAUSE_AFTER_TIMEOUT,
+    WATCH_TIMEOUT,
+    StoreFollower,
+)
+from canvasyoke.direct._store_restore import REREGISTRATION_TIME
 from canvasyoke.observe import part_logger
 from canvasyoke.state import (
     Endpoint,
@@ -69,7 +75,7 @@
     def _look(self, position: StorePosition) -> EndpointList | EndpointsSeen:
         if position:
             return self._store.watch_endpoints(position, self._wait_time())
-        return self._store.endpoints(self._contact.patience)
+        return self._store.endpoints(self._availability.timeout)
 
     def _run(self) -> None:
         position: StorePosition = 0
@@ -78,10 +84,10 @@
                 position = 0
                 self._held.clear()
                 self._unreadable = {}
-                self._contact.left_to_others()
-                self._pause(IDLE)
+                self._availability.suspend()
+                self._pause(IDLE_INTERVAL)
                 continue
-            self._contact.resumes()
+            self._availability.resume()
             if self._roster.wants_list and self._roster.doubted:
                 position = 0
             match self._look(position):
@@ -93,10 +99,10 @@
                     self._heard()
                     self._position = position = seen.position
                     self._take_changes(seen)
-                    self._pause(PAUSE_AFTER_NEWS)
+                    self._pause(PAUSE_AFTER_CHANGES)
                 case NothingNew():
                     self._heard()
-                    self._pause(PAUSE)
+                    self._pause(PAUSE_AFTER_TIMEOUT)
                 case HistoryGone():
                     _log.info(
                         "the store forgot its history",
@@ -106,24 +112,24 @@
                     position = 0
                 case seen:
                     position = 0
-                    self._contact.failed(seen)
+                    self._availability.failed(seen)
             self._carry_out_held()
 
     def _heard(self) -> None:
         """Take note of a usable answer: the list is in step with the store."""
-        self._contact.answered()
+        self._availability.succeeded()
         self._roster.confirmed()
 
     def _wait_time(self) -> int:
         """Return how long the next watch may wait: no longer than the next held removal."""
         if not self._held:
-            return WATCH
-        return max(1, min(WATCH, min(self._held.values()) - self._clock.now()))
+            return WATCH_TIMEOUT
+        return max(1, min(WATCH_TIMEOUT, min(self._held.values()) - self._clock.now()))
 
     def _settling_until(self) -> int:
         """Return the time on the clock until which a missing entry may come back."""
-        regained = self._contact.regained_at
-        return regained + RETURN_TIME if regained else 0
+        regained = self._availability.reconnected_at
+        return regained + REREGISTRATION_TIME if regained else 0
 
     def _take_list(self, seen: EndpointList) -> None:
         listed = frozenset(endpoint.id for endpoint in seen.endpoints)
@@ -132,9 +138,9 @@
         until = self._settling_until()
         if self._roster.is_known and era_of(seen.position) > self._roster.era:
             # Backends that the copy lacks live as a rule, and write themselves again.
-            until = max(until, self._clock.now() + RETURN_TIME)
+            until = max(until, self._clock.now() + REREGISTRATION_TIME)
         if len(missing) >= max(_MANY, _MANY_PART * len(self._roster.ids())):
-            until = max(until, self._clock.now() + RETURN_TIME)
+            until = max(until, self._clock.now() + REREGISTRATION_TIME)
         keep = missing - unreadable.keys() if self._clock.now() < until else frozenset()
         for endpoint_id in keep:
             self._hold(endpoint_id, until)
@@ -206,7 +212,7 @@
 
     def _carry_out_held(self) -> None:
         now = self._clock.now()
-        if self._contact.is_lost:
+        if self._availability.is_lost:
             return
         for endpoint_id, until in list(self._held.items()):
             if now >= until:
--- a/src/canvasyoke/direct/_home_share.py
+++ b/src/canvasyoke/direct/_home_share.py
@@ -13,7 +13,7 @@
 
 from collections.abc import Collection, Iterable
 
-from canvasyoke.membership import precedence
+from canvasyoke.membership import hash_order
 from canvasyoke.state import Endpoint
 
 
@@ -26,7 +26,7 @@
     order that all agree on. A service with fewer backends there than entries is not dealt:
     most would go without.
     """
-    entries = sorted({*near, own}, key=precedence)
+    entries = sorted({*near, own}, key=hash_order)
     position = entries.index(own)
     by_service: dict[str, list[str]] = {}
     for endpoint in endpoints:
@@ -35,7 +35,7 @@
     share: set[str] = set()
     for ids in by_service.values():
         if len(ids) >= len(entries):
-            dealt = sorted(ids, key=precedence)
+            dealt = sorted(ids, key=hash_order)
             first = position * len(dealt) // len(entries)
             share.update(dealt[first : (position + 1) * len(dealt) // len(entries)])
     return frozenset(share)
--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -2,7 +2,7 @@
 
 Word comes from several sides and out of order: positions in the store's history tell what
 is new. In the seconds after the store is back from a copy they do not tell all; what then
-counts is in ``_store_return``.
+counts is in ``_store_restore``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Final
 
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, EndpointState, StorePosition, era_of
 
 #: Backends that are remembered after they have gone, so that old news of them is known
@@ -43,7 +43,7 @@
 class KnownBackends:
     """Not thread-safe, the roster guards it. All calls return what they changed."""
 
-    store_return: StoreReturn
+    store_return: StoreRestore
     #: Whether a list has been read.
     is_known: bool = False
     #: Position up to which all changes are known; 0 before any list.
@@ -189,7 +189,7 @@
             self.position = max(self.position, position)
 
     def _heard_of(self, position: StorePosition) -> None:
-        self.store_return.heard_of(position, self.is_known)
+        self.store_return.observe_position(position, self.is_known)
 
     def _may_be_unwritten(self, endpoint: Endpoint) -> bool:
         """Tell whether a backend that a list lacks may live and write its entry again."""
--- a/src/canvasyoke/direct/_peer_loads.py
+++ b/src/canvasyoke/direct/_peer_loads.py
@@ -1,4 +1,4 @@
-"""What the other entries have under way, added up by backend as each of them tells it."""
+"""Requests in progress at the other entries, summed by backend."""
 
 from __future__ import annotations
 
@@ -9,68 +9,76 @@
 
 from canvasyoke._clock import SECOND
 
-#: Milliseconds after which what another entry told of its load is left out.
-_LIMIT: Final = 3 * SECOND
+#: Milliseconds after which the load of another entry is dropped.
+_MAX_AGE: Final = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLoad:
-    """What one entry told of its load."""
+class PeerLoad:
+    """Load that an entry has sent to the others."""
 
-    #: Time on its clock, by which later word is known.
-    told_at: int
-    #: Its requests under way by backend.
+    #: Send time on that entry's clock, which orders its updates.
+    sent_at: int
+    #: Requests in progress by backend.
     under_way: Mapping[str, int]
 
 
 @dataclass(slots=True)
-class _Heard:
-    load: ToldLoad
-    #: Time on this entry's clock.
-    at: int
+class _ReceivedLoad:
+    load: PeerLoad
+    #: Receive time on this entry's clock.
+    received_at: int
 
 
 @dataclass(slots=True)
 class PeerLoads:
-    """The sums are kept, not made for each request: with 32 entries and 72 backends that
-    took a choice some 2,000 steps. Not thread-safe, the roster guards it."""
+    """Loads of the other entries, with sums kept up to date incrementally.
 
-    _heard: dict[str, _Heard] = field(default_factory=dict)
+    Not thread-safe; the roster guards access with its lock.
+    """
+
+    _received: dict[str, _ReceivedLoad] = field(default_factory=dict)
     _sums: Counter[str] = field(default_factory=Counter)
-    #: Entries whose load came since it was last asked which to pass on.
+    #: Entries whose load was updated since the last ``take_unrelayed``.
     _unrelayed: set[str] = field(default_factory=set)
 
-    def took(self, entry: str, load: ToldLoad, now: int) -> bool:
-        """Take what an entry tells in place of what it told before; false if it is old."""
-        known = self._heard.get(entry)
-        if known is not None and load.told_at <= known.load.told_at and now - known.at < _LIMIT:
+    def update(self, entry: str, load: PeerLoad, now: int) -> bool:
+        """Replace the load of an entry; return false if ``load`` is outdated."""
+        known = self._received.get(entry)
+        if (
+            known is not None
+            and load.sent_at <= known.load.sent_at
+            and now - known.received_at < _MAX_AGE
+        ):
             return False
-        self.left(entry)
-        self._heard[entry] = _Heard(load, now)
+        self.remove(entry)
+        self._received[entry] = _ReceivedLoad(load, now)
         self._sums.update(load.under_way)
         self._unrelayed.add(entry)
         return True
 
-    def left(self, entry: str) -> None:
-        """Forget an entry's load."""
-        known = self._heard.pop(entry, None)
+    def remove(self, entry: str) -> None:
+        """Remove the load of an entry."""
+        known = self._received.pop(entry, None)
         self._unrelayed.discard(entry)
         if known is not None:
-            self._leave_out(known.load)
+            self._subtract(known.load)
 
     def forget_stale(self, now: int) -> None:
-        """Forget entries that have not told anything for long."""
-        for entry in [e for e, heard in self._heard.items() if now - heard.at > _LIMIT]:
-            self.left(entry)
-
-    def take_unrelayed(self) -> dict[str, ToldLoad]:
-        """Return the loads that came since the last call."""
-        taken = {entry: self._heard[entry].load for entry in self._unrelayed}
+        """Remove loads that have not been updated for too long."""
+        for entry in [
+            e for e, received in self._received.items() if now - received.received_at > _MAX_AGE
+        ]:
+            self.remove(entry)
+
+    def take_unrelayed(self) -> dict[str, PeerLoad]:
+        """Return the loads updated since the last call."""
+        taken = {entry: self._received[entry].load for entry in self._unrelayed}
         self._unrelayed.clear()
         return taken
 
-    def _leave_out(self, load: ToldLoad) -> None:
-        """Take a load out of the sums; backends without any are not kept."""
+    def _subtract(self, load: PeerLoad) -> None:
+        """Subtract a load from the sums, and drop backends whose sum is zero."""
         self._sums.subtract(load.under_way)
         for backend in load.under_way:
             if not self._sums[backend]:
@@ -78,9 +86,9 @@
 
     @property
     def entries(self) -> int:
-        """Return the number of other entries whose load is known."""
-        return len(self._heard)
+        """Number of other entries whose load is known."""
+        return len(self._received)
 
-    def of(self, backend: str) -> int:
-        """Return the other entries' requests at a backend."""
+    def requests_at(self, backend: str) -> int:
+        """Return the number of requests of other entries at ``backend``."""
         return self._sums.get(backend, 0)
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -1,9 +1,9 @@
-"""What direct entries tell each other: load, configuration, news of backends.
+"""Exchange of load, configuration and backend state between direct entries.
 
-Over the links of the overlay go, several times a second, each entry's requests under way,
-the version of its configuration, and how much it knows of the backends; and at once what
-one of them learns of a backend. Whoever learns something new passes it on, so that it
-reaches all that are in touch although each has few links.
+Entries periodically send each other their requests in progress, the version of their
+configuration and the position of their list of backends. Changes of a backend are sent
+immediately. Every entry relays what is new to it, so that changes reach all connected
+entries although each one has few links.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._entry_notes import EntryNotes
 from canvasyoke.direct._known_backends import BackendChange
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._load_schedule import LOAD_INTERVAL, MAX_INTERVAL, LoadSchedule
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._quarantine_notes import QuarantineNotes
 from canvasyoke.direct._roster import FleetView, Roster
 from canvasyoke.direct._table_exchange import TableExchange
 from canvasyoke.direct._table_follower import TableView
-from canvasyoke.direct._telling import AT_LEAST, TELL_EVERY, Telling
 from canvasyoke.direct._word_exchange import WordExchange
-from canvasyoke.membership import OverlayLinks, Place, StoreContact, WatchRota
+from canvasyoke.membership import Node, OverlayLinks, WatcherElection, WatcherStatus
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     BackendList,
@@ -56,14 +56,14 @@
 from canvasyoke.transport import Session
 
 _log = part_logger("peers")
-#: Milliseconds between tellings in an overlay even if nothing is new: word of who watches
-#: the store goes from neighbour to neighbour with them.
-_RELAY_AT_LEAST: Final = 300
+#: Milliseconds between load updates in a sparse overlay if nothing has changed; they also
+#: relay the reports of the watcher election.
+_MAX_RELAY_INTERVAL: Final = 300
 _ROLE: Final = "direct"
 
 
 class EntryPeers:
-    """The exchange of one entry with the others."""
+    """Exchanges state between this entry and its peers."""
 
     def __init__(
         self,
@@ -76,9 +76,9 @@
         quarantine: Quarantine,
         clock: Clock,
         rng: random.Random,
-        in_contact: Callable[[], bool],
+        is_store_reachable: Callable[[], bool],
     ) -> None:
-        self._own = Place(settings.instance, settings.peer, settings.domain)
+        self._own = Node(settings.instance, settings.peer, settings.domain)
         self._store = store
         self._view = view
         self._roster = roster
@@ -88,131 +88,142 @@
         self._clock = clock
         self._stop = threading.Event()
         self._notes = EntryNotes(self._own, store, clock, rng)
-        #: Entries of the own failure domain, as the store's notes say.
-        self._near: frozenset[str] = frozenset()
-        self._tell_near = Telling(clock)
-        self._tell_far = Telling(clock)
+        #: Other entries of the same failure domain, from the notes in the store.
+        self._domain_peers: frozenset[str] = frozenset()
+        self._domain_schedule = LoadSchedule(clock)
+        self._remote_schedule = LoadSchedule(clock)
         self._links = OverlayLinks(
-            self._own, _ROLE, incarnation, clock, rng, self._took, self._opened, self._closed
+            self._own,
+            _ROLE,
+            incarnation,
+            clock,
+            rng,
+            self._handle_message,
+            self._handle_open,
+            self._handle_close,
         )
-        #: Whether this entry watches the store for its domain.
-        self.rota = WatchRota(settings.instance, clock, in_contact)
-        self._tables = TableExchange(store, view, lambda: self.rota.is_watching, clock)
+        #: Decides whether this entry watches the store for its domain.
+        self.election = WatcherElection(settings.instance, clock, is_store_reachable)
+        self._tables = TableExchange(store, view, lambda: self.election.is_watching, clock)
         self._shares = DemandShares(budget.demand, clock)
         roster.set_share(self._shares.share)
-        self._backends = BackendExchange(roster, self._tell_all, self._tell_now, clock)
-        self._words = WordExchange(roster, self._tell_all)
-        #: Where the other entries are, until the task that keeps the links takes it.
-        self._found: list[Place] | None = None
-        self._finder = threading.Thread(target=self._find_all, name="find-entries", daemon=True)
+        self._backends = BackendExchange(roster, self._broadcast, self._send_load_now, clock)
+        self._words = WordExchange(roster, self._broadcast)
+        #: Last result of the discovery, until the exchange thread takes it.
+        self._discovered: list[Node] | None = None
+        self._discovery_task = threading.Thread(
+            target=self._run_discovery, name="find-entries", daemon=True
+        )
         self._task = threading.Thread(target=self._run, name="peers", daemon=True)
 
     def start(self) -> None:
-        """Start finding and telling the others."""
-        self._finder.start()
+        """Start the discovery and the exchange."""
+        self._discovery_task.start()
         self._task.start()
 
     @property
     def linked(self) -> int:
-        """Return the number of entries linked with."""
+        """Number of linked entries."""
         return self._links.linked
 
     def is_watching(self) -> bool:
-        """Tell whether this entry watches the store for its domain."""
-        return self.rota.is_watching
+        """Return whether this entry watches the store for its domain."""
+        return self.election.is_watching
 
-    def tell_table(self) -> None:
-        """Tell at once which configuration is in force."""
-        self._tell_now()
+    def announce_table(self) -> None:
+        """Announce the version of the configuration in force."""
+        self._send_load_now()
 
-    def tell_backend(self, change: BackendChange) -> None:
-        """Pass on what the store said of a backend."""
+    def announce_backend(self, change: BackendChange) -> None:
+        """Announce a change of a backend in the store."""
         self._backends.tell(change)
 
-    def tell_group(self, backend: str, group: str) -> None:
-        """Pass on which group a backend belongs to."""
-        self._tell_all(GroupNews(backend, group))
+    def announce_group(self, backend: str, group: str) -> None:
+        """Announce the group of a backend."""
+        self._broadcast(GroupNews(backend, group))
 
-    def tell_pace(self, backend: str, pace: float) -> None:
-        """Pass on how long a backend takes for its work."""
-        self._tell_all(PaceNews(backend, pace))
+    def announce_pace(self, backend: str, pace: float) -> None:
+        """Announce the pace of a backend."""
+        self._broadcast(PaceNews(backend, pace))
 
-    def tell_silence(self, backend: str) -> None:
-        """Pass on that a backend says nothing."""
-        self._tell_all(SilenceNews(backend))
+    def announce_silence(self, backend: str) -> None:
+        """Announce that a backend does not respond."""
+        self._broadcast(SilenceNews(backend))
 
-    def tell_word(self, told: ToldWord) -> None:
-        """Pass on what a backend has said of itself."""
+    def announce_word(self, told: ToldWord) -> None:
+        """Announce what a backend has reported about itself."""
         self._words.tell(told)
 
-    def tell_case(self, fingerprint: str, case: CrashCase) -> None:
-        """Pass on what is known against a request under which backends have ended."""
-        self._tell_all(to_crash_news(fingerprint, case))
+    def announce_case(self, fingerprint: str, case: CrashCase) -> None:
+        """Announce a request during which backends have crashed."""
+        self._broadcast(to_crash_news(fingerprint, case))
 
-    def _find_all(self) -> None:
-        """Look for the other entries, apart from all that must not wait for the store.
+    def _run_discovery(self) -> None:
+        """Poll the store for the other entries until stopped.
 
-        A store that is dark takes two seconds a look; links and word of who watches the
-        store would stand still with it.
+        Runs in its own thread, because a store that does not answer blocks each poll for
+        seconds, and must not delay links and reports.
         """
-        while not self._stop.wait(TELL_EVERY / SECOND):
-            self._find()
+        while not self._stop.wait(LOAD_INTERVAL / SECOND):
+            self._discover()
 
-    def _find(self) -> None:
+    def _discover(self) -> None:
         era = self._roster.era
-        places = self._notes.look(self.linked > 0, era)
-        if places is not None:
-            self._found = places
+        nodes = self._notes.poll(self.linked > 0, era)
+        if nodes is not None:
+            self._discovered = nodes
         self._quarantine_notes.look(era)
 
     def _run(self) -> None:
-        while not self._stop.wait(TELL_EVERY / SECOND):
-            self._look()
-            self._decide_to_watch()
-            self._tell_load()
-            self._tables.ask()
+        while not self._stop.wait(LOAD_INTERVAL / SECOND):
+            self._update_links()
+            self._update_watching()
+            self._send_load()
+            self._tables.request_newer()
             self._quarantine.look()
 
-    def _look(self) -> None:
-        """Keep the links that the overlay asks for among the entries that were found."""
-        places, self._found = self._found, None
+    def _update_links(self) -> None:
+        """Apply the last result of the discovery and reconcile the links."""
+        nodes, self._discovered = self._discovered, None
         if self._notes.link_key:
             self._links.listen(self._notes.link_key)
-        if places is not None:
-            self._links.set_places(places)
-            self._near = frozenset(p.name for p in places if p.domain == self._own.domain)
-            self._budget.entries = len(places) + 1
-            self._shares.set_fleet(len(places) + 1, self._links.is_mesh)
+        if nodes is not None:
+            self._links.set_nodes(nodes)
+            self._domain_peers = frozenset(p.name for p in nodes if p.domain == self._own.domain)
+            self._budget.entries = len(nodes) + 1
+            self._shares.set_fleet(len(nodes) + 1, self._links.is_mesh)
             self._roster.set_fleet(
-                FleetView(len(places) + 1, self._own.name, self._near, self._links.is_mesh)
+                FleetView(len(nodes) + 1, self._own.name, self._domain_peers, self._links.is_mesh)
             )
-            self.rota.set_domain(self._near)
-        self._links.look()
+            self.election.set_domain(self._domain_peers)
+        self._links.reconcile()
 
-    def _decide_to_watch(self) -> None:
-        near = [session for session in self._links.sessions() if session.peer in self._near]
-        watched = self.rota.is_watching
-        if self.rota.decide(bool(near), self._links.is_mesh) != watched:
-            _log.info("watches the store" if not watched else "leaves the store to others")
+    def _update_watching(self) -> None:
+        local = [
+            session for session in self._links.sessions() if session.peer in self._domain_peers
+        ]
+        was_watching = self.election.is_watching
+        if self.election.decide(bool(local), self._links.is_mesh) != was_watching:
+            _log.info("watches the store" if not was_watching else "leaves the store to others")
 
-    def _opened(self, session: Session) -> None:
+    def _handle_open(self, session: Session) -> None:
         _log.info("linked", peer=session.peer, incarnation=session.incarnation)
-        session.send(self._load(is_near=session.peer in self._near, relayed=[]))
+        session.send(self._build_load(is_local=session.peer in self._domain_peers, relayed=[]))
         self._words.opened(session)
         cases = self._quarantine.cases()
         if cases:
             session.send(CrashList([to_crash_news(name, case) for name, case in cases.items()]))
 
-    def _closed(self, session: Session) -> None:
+    def _handle_close(self, session: Session) -> None:
         self._backends.closed(session)
         if self._links.is_mesh:
             self._roster.peer_left(session.peer)
         _log.info("link lost", peer=session.peer)
 
-    def _took(self, session: Session, message: Message) -> None:
+    def _handle_message(self, session: Session, message: Message) -> None:
         match message:
             case EntryLoad():
-                self._took_load(session, message)
+                self._handle_load(session, message)
             case TableWanted():
                 self._tables.send(session, message.version)
             case BackendsWanted():
@@ -225,49 +236,51 @@
                 self._backends.took_list(session, message)
             case GroupNews():
                 if self._roster.learn_group(message.backend, message.group):
-                    self._tell_all(message, but=session)
+                    self._broadcast(message, exclude=session)
             case PaceNews():
                 if self._roster.learn_pace(message.backend, message.pace):
-                    self._tell_all(message, but=session)
+                    self._broadcast(message, exclude=session)
             case SilenceNews():
                 if self._roster.fell_silent(message.backend):
-                    self._tell_all(message, but=session)
+                    self._broadcast(message, exclude=session)
             case BackendWords():
                 self._words.took(session, message)
             case CrashNews():
-                self._take_case(message)
+                self._handle_crash_news(message)
             case CrashList():
                 for news in message.cases:
-                    self._take_case(news)
+                    self._handle_crash_news(news)
             case _:
                 _log.warning("unexpected message", peer=session.peer, kind=type(message).__name__)
 
-    def _take_case(self, news: CrashNews) -> None:
+    def _handle_crash_news(self, news: CrashNews) -> None:
         case = CrashCase(news.cleared, frozenset(news.runs), news.is_blamed)
         self._quarantine.hear(news.fingerprint, case)
 
-    def _took_load(self, session: Session, load: EntryLoad) -> None:
+    def _handle_load(self, session: Session, load: EntryLoad) -> None:
         if load.demands:
             self._shares.told(session.peer, load.demands)
-        if self._links.is_mesh or session.peer in self._near:
-            self._roster.peer_load(session.peer, ToldLoad(load.told_at, load.under_way))
+        if self._links.is_mesh or session.peer in self._domain_peers:
+            self._roster.peer_load(session.peer, PeerLoad(load.told_at, load.under_way))
         for relayed in load.relayed:
             if relayed.entry != self._own.name:
-                told = ToldLoad(relayed.told_at, relayed.under_way)
+                told = PeerLoad(relayed.told_at, relayed.under_way)
                 self._roster.peer_load(relayed.entry, told)
-        self.rota.hear([StoreContact(w.name, w.age, w.is_lost) for w in load.watchers])
-        self._tables.heard_of(load.config_version, session)
+        self.election.receive([WatcherStatus(w.name, w.age, w.is_lost) for w in load.watchers])
+        self._tables.observe_version(load.config_version, session)
         self._backends.heard_up_to(load.backends_revision, load.backends_age, session)
 
-    def _load(self, is_near: bool, relayed: list[RelayedLoad]) -> EntryLoad:
-        """Return what to tell an entry of the own domain, or of another one."""
-        tells_load = is_near or self._links.is_mesh
+    def _build_load(self, is_local: bool, relayed: list[RelayedLoad]) -> EntryLoad:
+        """Return the update for entries of this domain, or of others if not ``is_local``."""
+        includes_load = is_local or self._links.is_mesh
         watchers = (
-            [StoreWatcher(c.name, c.age, c.is_lost) for c in self.rota.tell()] if is_near else []
+            [StoreWatcher(c.name, c.age, c.is_lost) for c in self.election.statuses()]
+            if is_local
+            else []
         )
         return EntryLoad(
             config_version=self._view.current.version,
-            under_way=self._roster.own_load() if tells_load else {},
+            under_way=self._roster.own_load() if includes_load else {},
             told_at=self._clock.now(),
             backends_revision=self._roster.position,
             backends_age=self._roster.list_age,
@@ -277,45 +290,45 @@
         )
 
     def _demands(self) -> dict[str, float]:
-        """Return what callers ask here, while a backend limits what all entries may send."""
+        """Return the demand by service while a backend has a rate limit."""
         if not (self._links.is_mesh and self._roster.has_limits):
             return {}
         return {service: self._budget.demand(service) for service in self._roster.services()}
 
-    def _tell_now(self) -> None:
-        self._tell_near.forget()
-        self._tell_far.forget()
-        self._tell_load()
+    def _send_load_now(self) -> None:
+        self._domain_schedule.reset()
+        self._remote_schedule.reset()
+        self._send_load()
 
-    def _tell_load(self) -> None:
-        """Tell the load to those for whom it is due, the own domain's entries more often."""
+    def _send_load(self) -> None:
+        """Send the load where it is due; more often within the domain than to others."""
         sessions = self._links.sessions()
-        near = [session for session in sessions if session.peer in self._near]
-        far = [session for session in sessions if session.peer not in self._near]
+        local = [session for session in sessions if session.peer in self._domain_peers]
+        remote = [session for session in sessions if session.peer not in self._domain_peers]
         is_mesh = self._links.is_mesh
-        at_least = AT_LEAST if is_mesh else _RELAY_AT_LEAST
-        if self._tell_near.is_due(self._what_is_new(True), len(near) + 1, at_least):
+        max_interval = MAX_INTERVAL if is_mesh else _MAX_RELAY_INTERVAL
+        if self._domain_schedule.is_due(self._load_state(True), len(local) + 1, max_interval):
             relayed = [] if is_mesh else self._unrelayed()
-            load = self._load(is_near=True, relayed=relayed)
-            for session in near:
+            load = self._build_load(is_local=True, relayed=relayed)
+            for session in local:
                 session.send(load)
-        if self._tell_far.is_due(self._what_is_new(is_mesh), len(sessions) + 1):
-            load = self._load(is_near=False, relayed=[])
-            for session in far:
+        if self._remote_schedule.is_due(self._load_state(is_mesh), len(sessions) + 1):
+            load = self._build_load(is_local=False, relayed=[])
+            for session in remote:
                 session.send(load)
 
-    def _what_is_new(self, with_load: bool) -> Hashable:
-        under_way = tuple(sorted(self._roster.own_load().items())) if with_load else ()
+    def _load_state(self, includes_load: bool) -> Hashable:
+        under_way = tuple(sorted(self._roster.own_load().items())) if includes_load else ()
         has_limits = self._roster.has_limits
         return self._view.current.version, self._roster.position, under_way, has_limits
 
     def _unrelayed(self) -> list[RelayedLoad]:
         return [
-            RelayedLoad(entry, load.told_at, dict(load.under_way))
+            RelayedLoad(entry, load.sent_at, dict(load.under_way))
             for entry, load in self._roster.unrelayed_loads().items()
         ]
 
-    def _tell_all(self, message: Message, but: Session | None = None) -> None:
+    def _broadcast(self, message: Message, exclude: Session | None = None) -> None:
         for session in self._links.sessions():
-            if session is not but:
+            if session is not exclude:
                 session.send(message)
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -82,7 +82,7 @@
         self._budget.entries = _ASSUMED_ENTRIES
         self._metrics = DirectMetrics()
         self._quarantine = Quarantine(
-            self._clock, lambda name, case: self._peers.tell_case(name, case)
+            self._clock, lambda name, case: self._peers.announce_case(name, case)
         )
         make_store = FLEET_STORES.get(settings.adapter)
         self._peers = EntryPeers(
@@ -103,14 +103,14 @@
         self._endpoint_follower = EndpointFollower(
             make_store(settings.store),
             self._roster,
-            self._peers.tell_backend,
+            self._peers.announce_backend,
             self._peers.is_watching,
             self._clock,
             rng,
         )
         port = DIRECT_BACKENDS.get(settings.adapter)()
         breaks = BreakExaminer(self._roster, self._metrics)
-        words = WordKeeper(self._roster, self._metrics, self._peers.tell_word)
+        words = WordKeeper(self._roster, self._metrics, self._peers.announce_word)
         forwarder = Forwarder(
             port, self._roster, self._budget, breaks, self._quarantine, words, self._clock, rng
         )
@@ -119,7 +119,7 @@
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
-            self._peers.tell_group,
+            self._peers.announce_group,
             self._clock,
         )
         self._paces = PaceWatch(
@@ -127,7 +127,7 @@
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
-            self._peers.tell_pace,
+            self._peers.announce_pace,
         )
         self._domains = DomainProber(self._roster.cut_addresses, self._roster.domain_reached)
         self._callers = DirectCallers(
@@ -221,11 +221,11 @@
         """Pass a backend over that takes streams and says nothing, here and elsewhere."""
         if self._roster.fell_silent(backend):
             _log.warning("backend says nothing", backend=backend)
-            self._peers.tell_silence(backend)
+            self._peers.announce_silence(backend)
 
     def _configured(self, table: RoutingTable) -> None:
         self._http.set_limits(_server_limits(table.limits))
-        self._peers.tell_table()
+        self._peers.announce_table()
 
     def _not_ready(self) -> str:
         if self._leaving.is_set():
--- a/src/canvasyoke/direct/_store_follower.py
+++ b/src/canvasyoke/direct/_store_follower.py
@@ -1,10 +1,8 @@
-"""A task that follows one kind of object in the store.
+"""Base of the threads that follow one kind of object in the store.
 
-It lists once, then watches from the position of the list while this entry watches for its
-domain; others hear of changes from it. A watch that was cut begins with a new list, which is
-compared and not taken for a loss: the store can lose events before it cuts its watches and
-forgets its history, and a watch that goes on from before hears of that only with the next
-event.
+A follower lists the objects, and then watches for changes from the position of the list
+while this entry is a watcher of its domain; peers receive the changes from it. After a failed
+watch it lists again, since the store may have lost events before it dropped its history.
 """
 
 from __future__ import annotations
@@ -20,36 +18,32 @@
 from canvasyoke.state import CALL_PATIENCE, Unavailable, Unusable
 
 _log = part_logger("store")
-#: Milliseconds that a watch waits. Each watch is a call that the store counts; a longer
-#: one leaves a connection that has gone silent believed for longer. All entries begin
-#: their watches together, since the same news ends them, so none can tell the others: at
-#: 5 s, given up after 2 s more, a leaving stayed unknown to all of them for 7 s.
-WATCH: Final = 1_800
-#: Milliseconds between looks of an entry that does not watch at whether it is to.
-IDLE: Final = 100
-#: Milliseconds between calls that fail, doubled from the first to the second.
+#: Milliseconds for which a watch waits for changes. Shorter watches make more calls; longer
+#: ones take longer to detect a dead connection. The watches of all entries run in step, since
+#: the same changes end them, so peers do not hide the delay.
+WATCH_TIMEOUT: Final = 1_800
+#: Milliseconds between checks whether an entry that does not watch has to start.
+IDLE_INTERVAL: Final = 100
+#: First and longest delay in milliseconds after a failed call; doubled for each failure.
 _BACKOFF_START: Final = 50
 _BACKOFF_LIMIT: Final = 500
-#: Milliseconds between two watches without news, should the store end them at once.
-PAUSE: Final = 20
-#: Milliseconds between news and the next watch. Each watch that wakes is a call that the
-#: platform prices, and news come in series: all backends write their entries when they
-#: start. Nothing that follows has to be known sooner.
-PAUSE_AFTER_NEWS: Final = 120
-#: Least patience in milliseconds with a call while the store is lost; the most is
-#: ``CALL_PATIENCE``. It is drawn for each call: entries that lost the store together would
-#: all find it again up to 2 s after its return, since a call that was begun before gets no
-#: answer, and hold removals for as long again as they were late. What the first of them
-#: learns it tells the others. In simulated outages of seven entries the first was up to
-#: 2,145 ms late with 2 s for each call, and up to 1,149 ms with this.
-_LEAST_PATIENCE: Final = 400
-#: Milliseconds that the store must have been away for entries to have lapsed: they do
-#: after three heartbeats, of which one may have been missed before.
-_LAPSE_TIME: Final = 1 * SECOND
-
-
-class Contact:
-    """Whether the store answers one task, and how long that task backs off."""
+#: Milliseconds between watches without changes, in case the store ends them at once.
+PAUSE_AFTER_TIMEOUT: Final = 20
+#: Milliseconds between a change and the next watch. Calls are priced and changes come in
+#: bursts, for example when backends start; the pause batches them.
+PAUSE_AFTER_CHANGES: Final = 120
+#: Shortest timeout in milliseconds of a call while the store is lost; the longest is
+#: ``CALL_PATIENCE``. Random timeouts desynchronize the entries, so that one of them detects
+#: early that the store is back and informs the others. Calls started during an outage are
+#: never answered.
+_MIN_TIMEOUT: Final = 400
+#: Milliseconds of an outage after which entries of backends may have expired. They expire
+#: after three missed heartbeats, one of which may precede the outage.
+_EXPIRY_TIME: Final = 1 * SECOND
+
+
+class StoreAvailability:
+    """Tracks whether the store answers one follower, and its backoff."""
 
     def __init__(
         self, what: str, clock: Clock, rng: random.Random, pause: Callable[[float], None]
@@ -60,25 +54,25 @@
         self._pause = pause
         self._backoff = _BACKOFF_START
         self._lost_at = 0
-        self._is_resting = False
-        #: Time on the clock at which the store answered again after it had been away for
-        #: so long that entries may have lapsed; 0 if never.
-        self.regained_at = 0
+        self._is_suspended = False
+        #: Time at which the store answered again after an outage so long that backend entries
+        #: may have expired; 0 if never.
+        self.reconnected_at = 0
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the last call failed."""
+        """Whether the last call failed."""
         return self._lost_at > 0
 
     @property
-    def patience(self) -> int:
-        """Return the milliseconds for which to wait for the answer to the next call."""
+    def timeout(self) -> int:
+        """Timeout of the next call in milliseconds."""
         if not self._lost_at:
             return CALL_PATIENCE
-        return self._rng.randint(_LEAST_PATIENCE, CALL_PATIENCE)
+        return self._rng.randint(_MIN_TIMEOUT, CALL_PATIENCE)
 
     def failed(self, cause: Unavailable | Unusable) -> None:
-        """Note a call without a usable answer, and wait a little."""
+        """Record a call without a usable answer, and wait for the backoff."""
         if not self._lost_at:
             self._lost_at = self._clock.now()
             _log.warning("lost the store", what=self._what, cause=cause.detail)
@@ -87,39 +81,40 @@
         self._pause(self._backoff * self._rng.uniform(0.5, 1.5))
         self._backoff = min(_BACKOFF_LIMIT, self._backoff * 2)
 
-    def left_to_others(self) -> None:
-        """Note that this task makes no calls for now."""
+    def suspend(self) -> None:
+        """Record that the follower makes no calls for now."""
         self._lost_at = 0
-        self._is_resting = True
+        self._is_suspended = True
 
-    def resumes(self) -> None:
-        """Note that this task makes calls.
+    def resume(self) -> None:
+        """Record that the follower makes calls.
 
-        After a rest entries may have lapsed: it may begin because nobody had contact.
+        After a suspension backend entries may have expired, since this process may have been
+        elected because no other one could reach the store.
         """
-        if self._is_resting:
-            self._is_resting = False
-            self._lost_at = self._clock.now() - _LAPSE_TIME
+        if self._is_suspended:
+            self._is_suspended = False
+            self._lost_at = self._clock.now() - _EXPIRY_TIME
 
-    def answered(self) -> None:
-        """Note a usable answer."""
+    def succeeded(self) -> None:
+        """Record a usable answer."""
         self._backoff = _BACKOFF_START
         if self._lost_at:
             now = self._clock.now()
             away = now - self._lost_at
-            if away >= _LAPSE_TIME:
-                self.regained_at = now
+            if away >= _EXPIRY_TIME:
+                self.reconnected_at = now
             _log.info("regained the store", what=self._what, away=away)
             self._lost_at = 0
 
 
 class StoreFollower(ABC):
-    """A task that follows one kind of object."""
+    """A thread that follows one kind of object."""
 
     def __init__(self, what: str, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._stop = threading.Event()
-        self._contact = Contact(what, clock, rng, self._pause)
+        self._availability = StoreAvailability(what, clock, rng, self._pause)
         self._task = threading.Thread(target=self._run, name=f"follow-{what}", daemon=True)
 
     def start(self) -> None:
@@ -128,8 +123,8 @@
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether the store does not answer."""
-        return self._contact.is_lost
+        """Whether the store does not answer."""
+        return self._availability.is_lost
 
     def _pause(self, duration: float) -> None:
         self._stop.wait(duration / SECOND)
--- a/src/canvasyoke/direct/_table_follower.py
+++ b/src/canvasyoke/direct/_table_follower.py
@@ -1,4 +1,4 @@
-"""Keeps an entry's configuration up to date from the store."""
+"""Follows the configuration in the store."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 from collections.abc import Callable
 
 from canvasyoke._clock import Clock
-from canvasyoke.direct._store_follower import IDLE, PAUSE, PAUSE_AFTER_NEWS, WATCH, StoreFollower
+from canvasyoke.direct._store_follower import (
+    IDLE_INTERVAL,
+    PAUSE_AFTER_CHANGES,
+    PAUSE_AFTER_TIMEOUT,
+    WATCH_TIMEOUT,
+    StoreFollower,
+)
 from canvasyoke.observe import part_logger
 from canvasyoke.state import (
     FleetStore,
@@ -24,18 +30,18 @@
 
 
 class TableView:
-    """The configuration in force; versions only go up, whoever brings them."""
+    """The configuration in force; its version never decreases, whatever the source."""
 
     def __init__(self, on_change: Callable[[RoutingTable], None]) -> None:
         self._lock = threading.Lock()
         self._on_change = on_change
-        #: What is in force now; version 0 before any is known.
+        #: Routing table in force; version 0 before the first one.
         self.current = RoutingTable()
-        #: The document it was built from, to pass on.
+        #: Document that the table was parsed from, for peers.
         self.document = b""
 
     def adopt(self, table: RoutingTable, document: bytes, source: str) -> bool:
-        """Put ``table`` in force if it is newer."""
+        """Put ``table`` in force if it is newer; return whether it was."""
         with self._lock:
             if table.version <= self.current.version:
                 return False
@@ -47,7 +53,7 @@
 
 
 class TableFollower(StoreFollower):
-    """Follows the configuration."""
+    """Puts new configurations from the store in force."""
 
     def __init__(
         self,
@@ -64,28 +70,28 @@
 
     def _look(self, position: StorePosition) -> TableSeen:
         if position:
-            return self._store.watch_table(position, WATCH)
-        return self._store.table(self._contact.patience)
+            return self._store.watch_table(position, WATCH_TIMEOUT)
+        return self._store.table(self._availability.timeout)
 
     def _run(self) -> None:
         position: StorePosition = 0
         while not self._stop.is_set():
             if self._view.current.version and not self._is_watching():
                 position = 0
-                self._contact.left_to_others()
-                self._pause(IDLE)
+                self._availability.suspend()
+                self._pause(IDLE_INTERVAL)
                 continue
-            self._contact.resumes()
+            self._availability.resume()
             match self._look(position):
                 case TableRead() as seen:
-                    self._contact.answered()
+                    self._availability.succeeded()
                     position = seen.position
                     self._view.adopt(seen.table, seen.document, "store")
-                    self._pause(PAUSE_AFTER_NEWS)
+                    self._pause(PAUSE_AFTER_CHANGES)
                 case NothingNew() as seen:
-                    self._contact.answered()
+                    self._availability.succeeded()
                     position = position or seen.position
-                    self._pause(PAUSE)
+                    self._pause(PAUSE_AFTER_TIMEOUT)
                 case HistoryGone():
                     _log.info(
                         "the store forgot its history",
@@ -95,4 +101,4 @@
                     position = 0
                 case seen:
                     position = 0
-                    self._contact.failed(seen)
+                    self._availability.failed(seen)
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -1,4 +1,4 @@
-"""Entries that tell each other what they know, over links of a simulated network."""
+"""Simulation of a fleet of direct entries that exchange state over a network."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct._table_follower import TableView
-from canvasyoke.membership import Place, choose_dials, is_mesh
+from canvasyoke.membership import Node, choose_peers, is_mesh
 from canvasyoke.protocol import Message, decode_batch, encode_batch
 from canvasyoke.state import DirectSettings, Endpoint, EndpointState, FleetStore, Note
 from canvasyoke.transport import Session
 
-#: Milliseconds between turns of an entry.
+#: Milliseconds of simulated time between steps of an entry.
 TURN = 150
 
 
 class SimSession:
-    """One end of a link; what is sent waits until the network carries it."""
+    """One end of a link; messages are queued until the simulated network delivers them."""
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
@@ -40,11 +40,11 @@
 
 
 class SimLinks:
-    """Stands in for the overlay's links of one entry."""
+    """Replaces ``OverlayLinks`` of one entry."""
 
     def __init__(
         self,
-        own: Place,
+        own: Node,
         _role: str,
         _incarnation: str,
         _clock: ManualClock,
@@ -57,12 +57,12 @@
         self.on_message = on_message
         self.on_open = on_open
         self.on_close = on_close
-        self.places: list[Place] = []
+        self.nodes: list[Node] = []
         self.open: dict[str, SimSession] = {}
 
     @property
     def is_mesh(self) -> bool:
-        return is_mesh(len(self.places) + 1)
+        return is_mesh(len(self.nodes) + 1)
 
     @property
     def linked(self) -> int:
@@ -74,23 +74,23 @@
     def listen(self, _key: bytes) -> None:
         pass
 
-    def set_places(self, others: Iterable[Place]) -> None:
-        self.places = list(others)
+    def set_nodes(self, others: Iterable[Node]) -> None:
+        self.nodes = list(others)
 
-    def look(self) -> None:
-        pass  # the network decides on links
+    def reconcile(self) -> None:
+        pass  # SimFleet opens and closes links
 
 
 class SimStore:
-    """The notes of all entries."""
+    """Fake store that holds the notes of all entries."""
 
-    def __init__(self, places: list[Place]) -> None:
-        bodies = {p.name: {"peer": p.address, "domain": p.domain} for p in places}
+    def __init__(self, nodes: list[Node]) -> None:
+        bodies = {p.name: {"peer": p.address, "domain": p.domain} for p in nodes}
         self.other_notes: list[Note] = []
-        self.notes_now = [Note(n, 1, msgspec.json.encode(b)) for n, b in bodies.items()]
+        self.entry_notes = [Note(n, 1, msgspec.json.encode(b)) for n, b in bodies.items()]
 
     def notes(self, kind: str, may_be_old: bool = False) -> list[Note]:
-        return self.notes_now if kind == "entries" else self.other_notes
+        return self.entry_notes if kind == "entries" else self.other_notes
 
     def create_note(self, _kind: str, name: str, _body: bytes) -> Note:
         return Note(name, 1, msgspec.json.encode("ab" * 32))
@@ -99,25 +99,25 @@
 
 
 class SimEntry:
-    """One entry: what it knows, and its exchange with the others."""
+    """One entry with its roster and its exchange with the peers."""
 
-    def __init__(self, place: Place, store: SimStore, clock: ManualClock) -> None:
-        rng = random.Random(place.name)
-        self.place = place
-        self.roster = Roster(place.domain, clock, rng)
+    def __init__(self, node: Node, store: SimStore, clock: ManualClock) -> None:
+        rng = random.Random(node.name)
+        self.node = node
+        self.roster = Roster(node.domain, clock, rng)
         settings = DirectSettings(
-            instance=place.name,
-            domain=place.domain,
+            instance=node.name,
+            domain=node.domain,
             http="10.0.0.1:1",
             ready="10.0.0.1:2",
-            peer=place.address,
+            peer=node.address,
             metrics="10.0.0.1:3",
             store="10.0.0.1:4",
             adapter="objects",
         )
-        #: Changes of the store's history that its own watch has brought.
+        #: Number of changes in the history of the store that this entry has seen.
         self.watched = 0
-        self.quarantine = Quarantine(clock, lambda name, case: self.peers.tell_case(name, case))
+        self.quarantine = Quarantine(clock, lambda name, case: self.peers.announce_case(name, case))
         self.peers = EntryPeers(
             settings,
             cast(FleetStore, store),
@@ -135,11 +135,11 @@
     def links(self) -> SimLinks:
         return cast(SimLinks, self.peers._links)
 
-    def turn(self) -> None:
-        self.peers._find()
-        self.peers._look()
-        self.peers._decide_to_watch()
-        self.peers._tell_load()
+    def step(self) -> None:
+        self.peers._discover()
+        self.peers._update_links()
+        self.peers._update_watching()
+        self.peers._send_load()
         self.quarantine.look()
 
     def knows(self) -> dict[str, tuple[int, str]]:
@@ -147,47 +147,47 @@
 
 
 class SimFleet:
-    """All entries, the links between them, and the store's true list."""
+    """All entries, the links between them, and the backends in the store."""
 
     def __init__(self, sizes: tuple[int, ...], seed: int = 1) -> None:
         self.clock = ManualClock(start=10_000)
         self.rng = random.Random(seed)
-        self.places = [
-            Place(f"front-{d}-{n}", f"10.{d}.0.{n}:7340", f"domain-{d}")
+        self.nodes = [
+            Node(f"front-{d}-{n}", f"10.{d}.0.{n}:7340", f"domain-{d}")
             for d, size in enumerate(sizes)
             for n in range(size)
         ]
-        self.store = SimStore(self.places)
+        self.store = SimStore(self.nodes)
         self.revision = 1
         self.truth: dict[str, Endpoint] = {}
-        #: Every change that the store has told of, in order.
+        #: All changes in the store, in order.
         self.history: list[BackendChange] = []
-        self.entries = {p.name: SimEntry(p, self.store, self.clock) for p in self.places}
-        #: Domains that are cut from the rest.
-        self.cut: set[str] = set()
-        #: Messages carried, and those lost with a link.
-        self.carried = 0
+        self.entries = {p.name: SimEntry(p, self.store, self.clock) for p in self.nodes}
+        #: Domains that are partitioned from the others.
+        self.partitioned: set[str] = set()
+        #: Number of messages delivered.
+        self.delivered = 0
 
     @property
     def at(self) -> int:
-        """Return the store's position now."""
+        """Current position of the store."""
         return self.revision
 
-    def in_touch(self, one: Place, other: Place) -> bool:
-        return one.domain == other.domain or not {one.domain, other.domain} & self.cut
+    def can_reach(self, one: Node, other: Node) -> bool:
+        return one.domain == other.domain or not {one.domain, other.domain} & self.partitioned
 
     def wanted(self) -> set[tuple[str, str]]:
-        """Return the pairs that are to be linked."""
+        """Return the pairs of entries that the overlay links."""
         pairs = set()
-        living = [e.place for e in self.entries.values()]
-        for place in living:
-            others = [p for p in living if p is not place and self.in_touch(place, p)]
-            for name in choose_dials(place, others):
-                pairs.add((min(place.name, name), max(place.name, name)))
+        alive = [e.node for e in self.entries.values()]
+        for node in alive:
+            others = [p for p in alive if p is not node and self.can_reach(node, p)]
+            for name in choose_peers(node, others):
+                pairs.add((min(node.name, name), max(node.name, name)))
         return pairs
 
     def keep_links(self) -> None:
-        """Open the links that are missing, and close those that were cut."""
+        """Open missing links, and close those that are no longer wanted."""
         wanted = self.wanted()
         for name, entry in self.entries.items():
             for peer, session in list(entry.links.open.items()):
@@ -205,32 +205,32 @@
         entry.links.open[peer] = session
         entry.links.on_open(cast(Session, session))
 
-    def carry(self) -> bool:
-        """Carry what waits on all links one hop; false when nothing did."""
-        loads = []
+    def deliver_hop(self) -> bool:
+        """Deliver all queued messages; return whether there were any."""
+        batches = []
         for name, entry in self.entries.items():
             for peer, session in entry.links.open.items():
-                loads.append((name, peer, list(session.queue)))
+                batches.append((name, peer, list(session.queue)))
                 session.queue.clear()
-        self.rng.shuffle(loads)
-        carried = 0
-        for name, peer, frames in loads:
-            to = self.entries[peer]
-            back = to.links.open.get(name)
-            for frame in frames if back is not None else ():
-                carried += 1
+        self.rng.shuffle(batches)
+        delivered = 0
+        for name, peer, frames in batches:
+            receiver = self.entries[peer]
+            reverse = receiver.links.open.get(name)
+            for frame in frames if reverse is not None else ():
+                delivered += 1
                 for message in decode_batch(frame):
-                    to.links.on_message(cast(Session, back), message)
-        self.carried += carried
-        return carried > 0
+                    receiver.links.on_message(cast(Session, reverse), message)
+        self.delivered += delivered
+        return delivered > 0
 
     def pass_turns(self, turns: int) -> None:
         for _ in range(turns):
             self.clock.advance(TURN)
             self.keep_links()
             for entry in self.entries.values():
-                entry.turn()
-            self.carry()
+                entry.step()
+            self.deliver_hop()
 
     def kill(self, name: str) -> None:
         entry = self.entries.pop(name)
@@ -241,11 +241,11 @@
             other.links.on_close(cast(Session, session))
 
     def restart(self, name: str) -> None:
-        place = next(p for p in self.places if p.name == name)
-        self.entries[name] = SimEntry(place, self.store, self.clock)
+        node = next(p for p in self.nodes if p.name == name)
+        self.entries[name] = SimEntry(node, self.store, self.clock)
 
-    def change(self, backend: str, state: EndpointState | None, starts_again: bool = False) -> None:
-        """Change a backend in the store; it may have started again under its name."""
+    def change(self, backend: str, state: EndpointState | None, is_restart: bool = False) -> None:
+        """Change or remove a backend in the store."""
         self.revision += 1
         known = self.truth.get(backend)
         started = known.started if known is not None else 0
@@ -262,13 +262,13 @@
             3,
             state,
             self.revision,
-            self.revision if starts_again else started,
+            self.revision if is_restart else started,
         )
         self.truth[backend] = endpoint
         self.history.append(BackendChange(endpoint, False, self.revision))
 
-    def watch_at(self, name: str) -> None:
-        """Bring an entry what the store has told of since it watched or listed last."""
+    def apply_watch_events(self, name: str) -> None:
+        """Apply the changes since the last watch or list to an entry that has a list."""
         entry = self.entries[name]
         if not entry.roster.is_known:
             return
@@ -277,18 +277,18 @@
                 entry.roster.remove(change.endpoint.id, change.position)
             else:
                 entry.roster.put(change.endpoint)
-            entry.peers.tell_backend(change)
+            entry.peers.announce_backend(change)
             entry.roster.knows_up_to(change.position)
         entry.watched = len(self.history)
 
-    def list_at(self, name: str) -> None:
-        """Have an entry read the whole list, as it does when it starts or watches anew."""
+    def list_store(self, name: str) -> None:
+        """Make an entry read the whole list, as at its start and after a failed watch."""
         entry = self.entries[name]
         entry.watched = len(self.history)
         is_first = not entry.roster.is_known
         for change in entry.roster.merge_from_store(list(self.truth.values()), self.at):
             if not is_first:
-                entry.peers.tell_backend(change)
+                entry.peers.announce_backend(change)
 
     def expected(self) -> dict[str, tuple[int, str]]:
         return {e.id: (e.position, e.state.name) for e in self.truth.values()}
--- a/src/canvasyoke/direct/tests/load_model.py
+++ b/src/canvasyoke/direct/tests/load_model.py
@@ -15,7 +15,7 @@
 from canvasyoke._clock import ManualClock
 from canvasyoke.backend import BackendNotice, ReportedLoad
 from canvasyoke.direct._choice import Chosen, Wanted
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._roster import FleetView, Roster
 from canvasyoke.state import Endpoint, EndpointState
 
@@ -136,7 +136,7 @@
 
     def _telling(self, domain: int, n: int, roster: Roster) -> Callable[[], None]:
         def tell() -> None:
-            load = ToldLoad(self.clock.now(), roster.own_load())
+            load = PeerLoad(self.clock.now(), roster.own_load())
             groups = self.rosters if self.day.hears_all else [self.rosters[domain]]
             others = [other for group in groups for other in group if other is not roster]
 
--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/need_model.py
@@ -21,7 +21,7 @@
 from canvasyoke.direct._call import DirectCall, GaveUp, Tried
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._demand_shares import DemandShares
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._refusals import Refusals
 from canvasyoke.direct._roster import FleetView, Roster
 from canvasyoke.direct.tests.calls import ROUTE, make_call
@@ -161,7 +161,7 @@
 
     def _telling(self, entry: _Entry) -> Callable[[], None]:
         def tell() -> None:
-            load = ToldLoad(self.clock.now(), entry.roster.own_load())
+            load = PeerLoad(self.clock.now(), entry.roster.own_load())
             demands = {_SERVICE: entry.budget.demand(_SERVICE)}
             self._tell(entry, lambda other: other.roster.peer_load(entry.name, load))
             self._tell(entry, lambda other: other.shares.told(entry.name, demands))
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -10,7 +10,7 @@
 from canvasyoke.backend import DirectBackendPort
 from canvasyoke.direct._choice import Chosen, Wanted
 from canvasyoke.direct._pace_watch import PaceWatch
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort
 from canvasyoke.state import (
@@ -84,7 +84,7 @@
         play(roster, clock, 100, waited // 100)
     else:
         clock.advance(waited)
-    roster.peer_load("entry-2", ToldLoad(1, {RANKS[1]: others}))
+    roster.peer_load("entry-2", PeerLoad(1, {RANKS[1]: others}))
     if goes_on:
         roster.stream_heard(RANKS[1], 100)
     assert roster.is_overdue(RANKS[1], waited) is expected
--- a/src/canvasyoke/direct/tests/test_known_backends.py
+++ b/src/canvasyoke/direct/tests/test_known_backends.py
@@ -6,7 +6,7 @@
 
 from canvasyoke._clock import ManualClock
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, EndpointState, store_position
 
 READY, LEAVING = EndpointState.READY, EndpointState.LEAVING
@@ -27,7 +27,7 @@
 
     def __init__(self, before: Endpoint | None, later: int = RETURNED) -> None:
         self.clock = ManualClock(start=100_000)
-        self.known = KnownBackends(StoreReturn(self.clock))
+        self.known = KnownBackends(StoreRestore(self.clock))
         self.known.merge([backend(at(0, 5))], at(0, 5))
         if before is None:
             self.known.remove("b", at(0, 122))
@@ -100,7 +100,7 @@
     assert answer.gone is (before is None)
     assert answer.gone or answer.endpoint.state is LEAVING
     # The other one has it from the copy, at the same position.
-    other = KnownBackends(StoreReturn(known.clock))
+    other = KnownBackends(StoreRestore(known.clock))
     other.merge([backend(at(1, 6))], at(1, 6))
     assert other.hear(answer)
     assert other.refute(answer) is None, "no word back"
@@ -108,7 +108,7 @@
 
 def test_nobody_denies_a_backend_of_before_the_return() -> None:
     """The copy may lack it; an entry that started since knows no more than the copy."""
-    newcomer = KnownBackends(StoreReturn(ManualClock(start=100_000)))
+    newcomer = KnownBackends(StoreRestore(ManualClock(start=100_000)))
     newcomer.merge([], at(1, 6))
     news = BackendChange(backend(at(0, 121)), False, at(0, 121))
     assert not newcomer.hear(news)
--- a/src/canvasyoke/direct/tests/test_list_age.py
+++ b/src/canvasyoke/direct/tests/test_list_age.py
@@ -35,7 +35,7 @@
     fleet = SimFleet((2, 2))
     fleet.change("b-1", EndpointState.READY)
     for name in fleet.entries:
-        fleet.list_at(name)
+        fleet.list_store(name)
     fleet.pass_turns(SETTLE_TURNS)
     told, *others = fleet.entries.values()
     before = [entry.roster.list_age for entry in others]
--- a/src/canvasyoke/direct/tests/test_packed_document.py
+++ b/src/canvasyoke/direct/tests/test_packed_document.py
@@ -1,4 +1,4 @@
-"""What a configuration takes on the links between entries."""
+"""Tests of the compression of configurations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def document(routes: int) -> bytes:
-    """Return a configuration whose routes differ in name, host and prefix."""
+    """Return a configuration with distinct names, hosts and prefixes of routes."""
     each = [
         {
             "name": f"r-{number:06x}",
@@ -30,12 +30,12 @@
 
 
 @pytest.mark.parametrize("routes", [0, 1, 240, 1_440])
-def test_a_document_passes_unchanged(routes: int) -> None:
+def test_document_round_trip(routes: int) -> None:
     assert unpack_document(pack_document(document(routes))) == document(routes)
 
 
-def test_a_large_document_takes_a_sixth_of_its_size() -> None:
-    """Before: all of it, 0.24 MB for 1,440 routes, to each entry and with each version."""
+def test_large_document_is_compressed_to_a_sixth() -> None:
+    """Large configurations delay streams on the same links."""
     plain = document(1_440)
     assert len(plain) > 200_000
     assert len(pack_document(plain)) < len(plain) / 6
@@ -46,6 +46,6 @@
     [b"", b"{}", pack_document(document(9))[:-5], zlib.compress(bytes(9 << 20), 1)],
     ids=["nothing", "not packed", "cut short", "too long"],
 )
-def test_other_bytes_are_told_from_a_document(data: bytes) -> None:
+def test_invalid_data_is_rejected(data: bytes) -> None:
     with pytest.raises(DocumentError):
         unpack_document(data)
--- a/src/canvasyoke/direct/tests/test_peer_loads.py
+++ b/src/canvasyoke/direct/tests/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""What an entry makes of the loads that others tell."""
+"""Tests of the sums of loads of the other entries."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from canvasyoke._clock import SECOND
-from canvasyoke.direct._peer_loads import PeerLoads, ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad, PeerLoads
 
 BACKENDS = ("a", "b", "c")
 LOADS = st.dictionaries(st.sampled_from(BACKENDS), st.integers(0, 9))
 
 
 class PeerLoadsMachine(RuleBasedStateMachine):
-    """Compares the sums that are kept with sums made anew."""
+    """Compares the incremental sums with recomputed ones."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loads = PeerLoads()
-        self.told: dict[str, tuple[int, dict[str, int]]] = {}
+        self.received: dict[str, tuple[int, dict[str, int]]] = {}
         self.now = 0
-        #: Rises with each telling, as the clock of the entry that tells does.
-        self.told_at = 0
+        #: Monotonic send time of the updates.
+        self.sent_at = 0
 
     @rule(peer=st.sampled_from("xyz"), under_way=LOADS)
     def tell(self, peer: str, under_way: dict[str, int]) -> None:
-        self.told_at += 1
-        assert self.loads.took(peer, ToldLoad(self.told_at, under_way), self.now)
-        self.told[peer] = (self.now, under_way)
+        self.sent_at += 1
+        assert self.loads.update(peer, PeerLoad(self.sent_at, under_way), self.now)
+        self.received[peer] = (self.now, under_way)
 
-    @precondition(lambda self: self.told)
+    @precondition(lambda self: self.received)
     @rule(under_way=LOADS, data=st.data())
     def tell_again(self, under_way: dict[str, int], data: st.DataObject) -> None:
-        """Older word comes by another way: it changes nothing while newer is fresh."""
-        peer = data.draw(st.sampled_from(sorted(self.told)))
-        if self.now - self.told[peer][0] < 3 * SECOND:
-            assert not self.loads.took(peer, ToldLoad(0, under_way), self.now)
+        """An older update that arrives over another path is ignored."""
+        peer = data.draw(st.sampled_from(sorted(self.received)))
+        if self.now - self.received[peer][0] < 3 * SECOND:
+            assert not self.loads.update(peer, PeerLoad(0, under_way), self.now)
 
     @rule(peer=st.sampled_from("xyz"))
     def leave(self, peer: str) -> None:
-        self.loads.left(peer)
-        self.told.pop(peer, None)
+        self.loads.remove(peer)
+        self.received.pop(peer, None)
 
     @rule(passed=st.integers(0, 4 * SECOND))
     def wait(self, passed: int) -> None:
@@ -49,15 +49,15 @@
 
     @invariant()
     def sums_add_up(self) -> None:
-        fresh = [load for at, load in self.told.values() if self.now - at <= 3 * SECOND]
+        fresh = [load for at, load in self.received.values() if self.now - at <= 3 * SECOND]
         for backend in BACKENDS:
-            assert self.loads.of(backend) == sum(load.get(backend, 0) for load in fresh)
+            assert self.loads.requests_at(backend) == sum(load.get(backend, 0) for load in fresh)
         assert self.loads._sums.keys() <= {backend for load in fresh for backend in load}
         assert self.loads.entries == len(fresh)
 
     @rule()
     def pass_on(self) -> None:
-        fresh = {p: load for p, (at, load) in self.told.items() if self.now - at <= 3 * SECOND}
+        fresh = {p: load for p, (at, load) in self.received.items() if self.now - at <= 3 * SECOND}
         for peer, load in self.loads.take_unrelayed().items():
             assert fresh[peer] == load.under_way
         assert not self.loads.take_unrelayed()
--- a/src/canvasyoke/direct/tests/test_quarantine_fleet.py
+++ b/src/canvasyoke/direct/tests/test_quarantine_fleet.py
@@ -29,9 +29,9 @@
 def settled(sizes: tuple[int, ...]) -> SimFleet:
     fleet = SimFleet(sizes)
     fleet.pass_turns(SETTLE_TURNS)
-    while fleet.carry():
+    while fleet.deliver_hop():
         pass
-    fleet.carried = 0
+    fleet.delivered = 0
     return fleet
 
 
@@ -55,24 +55,24 @@
         fleet.clock.advance(200)
     hops = 0
     while any(not e.quarantine.holds(DEADLY) for e in fleet.entries.values()):
-        assert fleet.carry()
+        assert fleet.deliver_hop()
         hops += 1
-    while fleet.carry():
+    while fleet.deliver_hop():
         pass
     assert hops <= most_hops
-    assert fleet.carried <= most_messages
+    assert fleet.delivered <= most_messages
 
 
 def test_sides_of_a_cut_count_alone_and_put_it_together_afterwards() -> None:
     fleet = settled((3, 3, 3))
-    fleet.cut = {"domain-0"}
+    fleet.partitioned = {"domain-0"}
     fleet.pass_turns(2)
     fleet.entries["front-0-0"].quarantine.ended(DEADLY, "a")
     fleet.entries["front-1-0"].quarantine.ended(DEADLY, "b")
     fleet.entries["front-2-0"].quarantine.ended(DEADLY, "c")
     fleet.pass_turns(SETTLE_TURNS)
     assert not any(e.quarantine.holds(DEADLY) for e in fleet.entries.values())
-    fleet.cut = set()
+    fleet.partitioned = set()
     fleet.pass_turns(SETTLE_TURNS)
     assert all(e.quarantine.holds(DEADLY) for e in fleet.entries.values())
 
@@ -127,7 +127,7 @@
 
     @rule(domain=st.sampled_from(["domain-0", "domain-1"]))
     def cut(self, domain: str) -> None:
-        self.fleet.cut = {domain}
+        self.fleet.partitioned = {domain}
         self.fleet.pass_turns(1)
 
     @rule()
@@ -152,7 +152,7 @@
 
     @rule()
     def settle(self) -> None:
-        self.fleet.cut = set()
+        self.fleet.partitioned = set()
         self.fleet.pass_turns(SETTLE_TURNS)
         known = [e.quarantine.cases() for e in self.fleet.entries.values()]
         assert all(cases == known[0] for cases in known)
--- a/src/canvasyoke/direct/tests/test_roster.py
+++ b/src/canvasyoke/direct/tests/test_roster.py
@@ -11,7 +11,7 @@
 from canvasyoke.backend import BackendNotice, ReportedLoad
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._known_backends import BackendChange
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint, EndpointState
@@ -56,7 +56,7 @@
 
 
 def test_load_that_others_tell_counts(roster: Roster) -> None:
-    roster.peer_load("entry-2", ToldLoad(1, {"a": 4}))
+    roster.peer_load("entry-2", PeerLoad(1, {"a": 4}))
     assert [choose(roster) for _ in range(4)] == ["b"] * 4
 
 
@@ -177,7 +177,7 @@
     choose(roster)
     roster.finished("a", 1_200, failed=False)
     roster.finished("b", 1_200, failed=False)
-    roster.peer_load("entry-2", ToldLoad(1, {"a": each, "b": each}))
+    roster.peer_load("entry-2", PeerLoad(1, {"a": each, "b": each}))
     chosen = roster.choose(Wanted("ink", patience=patience))
     assert isinstance(chosen, Chosen) is sent
     if isinstance(chosen, NoneAble):
@@ -192,7 +192,7 @@
         choose(roster)
         for name in ("a", "b"):
             roster.cancelled(name)
-    roster.peer_load("entry-2", ToldLoad(1, {"a": 7, "b": 7}))
+    roster.peer_load("entry-2", PeerLoad(1, {"a": 7, "b": 7}))
     assert isinstance(roster.choose(Wanted("ink", patience=200)), NoneAble)
 
 
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""What one entry learns of a backend reaches all that are in touch, and never goes back."""
+"""Tests that changes of backends reach all connected entries and are never reverted."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from canvasyoke.protocol import BackendNews
 from canvasyoke.state import EndpointState, Note
 
-#: Seconds after which an event that is waited for has failed to come.
-PATIENCE = 20
+#: Timeout in seconds for an expected event.
+EVENT_TIMEOUT = 20
 SIZES = (22, 17, 21, 19, 20)
 LEAVES = BackendNotice(is_leaving=True)
 
@@ -37,49 +37,49 @@
     for n in range(5):
         fleet.change(f"b-{n}", EndpointState.READY)
     for name in fleet.entries:
-        fleet.list_at(name)
+        fleet.list_store(name)
     fleet.pass_turns(SETTLE_TURNS)
     return fleet
 
 
-def test_news_reach_ninety_nine_entries_in_few_hops_and_few_messages() -> None:
-    """Told by each of 99 to 98 others, one change was 9,702 messages."""
+def test_change_reaches_99_entries_in_few_hops_and_messages() -> None:
+    """Flooding all pairs of entries would take 9,702 messages for one change."""
     fleet = started(SIZES)
     for entry in fleet.entries.values():
         for session in entry.links.open.values():
             session.queue.clear()
-    fleet.carried = 0
+    fleet.delivered = 0
     fleet.change("b-1", EndpointState.LEAVING)
-    fleet.watch_at(fleet.places[0].name)
+    fleet.apply_watch_events(fleet.nodes[0].name)
     hops = 0
     while any(e.knows() != fleet.expected() for e in fleet.entries.values()):
-        assert fleet.carry()
+        assert fleet.deliver_hop()
         hops += 1
-    while fleet.carry():
+    while fleet.deliver_hop():
         pass
     assert hops <= 6
-    assert fleet.carried < 1_000
+    assert fleet.delivered < 1_000
 
 
-def test_a_link_that_is_opened_brings_what_was_missed() -> None:
+def test_new_link_delivers_missed_changes() -> None:
     fleet = started(SIZES)
-    fleet.cut = {"domain-1"}
+    fleet.partitioned = {"domain-1"}
     fleet.pass_turns(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
-    fleet.watch_at(fleet.places[0].name)
+    fleet.apply_watch_events(fleet.nodes[0].name)
     fleet.pass_turns(SETTLE_TURNS)
     behind = [n for n, e in fleet.entries.items() if e.knows() != fleet.expected()]
-    assert {fleet.entries[n].place.domain for n in behind} == {"domain-1"}
-    fleet.cut = set()
+    assert {fleet.entries[n].node.domain for n in behind} == {"domain-1"}
+    fleet.partitioned = set()
     fleet.pass_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
-def test_what_one_entry_missed_is_passed_on_to_those_behind_it(
+def test_missed_changes_are_relayed_over_existing_links(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One link joins two domains; behind it all links have stood for long."""
+    """A single link reconnects each pair of domains; the links within them stayed open."""
     fleet = started((6, 5, 4))
     near = {pair for pair in fleet.wanted() if pair[0][:7] == pair[1][:7]}
     bridge = {("front-0-0", "front-1-0"), ("front-1-0", "front-2-0")}
@@ -87,44 +87,44 @@
     fleet.pass_turns(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
-    fleet.watch_at("front-0-0")
+    fleet.apply_watch_events("front-0-0")
     fleet.pass_turns(SETTLE_TURNS)
     monkeypatch.setattr(fleet, "wanted", lambda: near | bridge)
     fleet.pass_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
-def test_an_event_that_the_store_lost_is_made_good_everywhere() -> None:
-    """The watcher finds it in a later list, where it is older than what all others know."""
+def test_change_lost_by_the_store_is_recovered_from_a_list() -> None:
+    """Its position is lower than that of the list that the other entries have."""
     fleet = started(SIZES)
-    watcher = fleet.places[0].name
+    watcher = fleet.nodes[0].name
     fleet.revision += 1
     lost = next(iter(fleet.truth.values()))
     fleet.truth["b-lost"] = type(lost)(
         "b-lost", "ink", "10.9.9.9:1", "domain-0", 3, EndpointState.READY, fleet.revision
     )
     fleet.change("b-2", EndpointState.LEAVING)
-    fleet.watch_at(watcher)
+    fleet.apply_watch_events(watcher)
     fleet.pass_turns(SETTLE_TURNS)
     assert all("b-lost" not in e.knows() for e in fleet.entries.values())
-    fleet.list_at(watcher)
+    fleet.list_store(watcher)
     fleet.pass_turns(SETTLE_TURNS)
     assert all("b-lost" in e.knows() for e in fleet.entries.values())
 
 
-def test_a_backend_that_ended_before_a_list_was_read_is_forgotten_by_all() -> None:
-    """Its news is still on the way when another entry lists: the list says nothing of it."""
+def test_backend_removed_before_a_list_is_removed_everywhere() -> None:
+    """Its addition is still being relayed when another entry lists the store without it."""
     fleet = started((6, 5, 4))
     fleet.change("b-9", EndpointState.READY)
-    fleet.watch_at("front-0-5")
+    fleet.apply_watch_events("front-0-5")
     fleet.change("b-9", None)
-    fleet.list_at("front-0-0")
+    fleet.list_store("front-0-0")
     fleet.pass_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
-def test_a_session_that_its_peer_replaced_is_not_kept() -> None:
-    """Its end is not told: links tell only of the session that a peer has now."""
+def test_replaced_sessions_are_released() -> None:
+    """Links do not report the close of a session that the peer has replaced."""
     fleet = started((2, 2))
     entry = fleet.entries["front-0-0"]
     for _ in range(20):
@@ -135,61 +135,61 @@
     assert len(entry.peers._backends._caught_up) <= len(entry.links.open)
 
 
-def test_a_group_is_learned_from_one_entry_by_all() -> None:
+def test_group_reaches_all_entries() -> None:
     fleet = started(SIZES)
-    first = fleet.entries[fleet.places[0].name]
+    first = fleet.entries[fleet.nodes[0].name]
     assert first.roster.learn_group("b-1", "g-1")
-    first.peers.tell_group("b-1", "g-1")
+    first.peers.announce_group("b-1", "g-1")
     fleet.pass_turns(SETTLE_TURNS)
     assert all(e.roster.groups() == {"b-1": "g-1"} for e in fleet.entries.values())
 
 
-def say_leaving(fleet: SimFleet, name: str, backend: str) -> None:
-    """Have a backend say to one entry that it leaves."""
+def announce_leaving(fleet: SimFleet, name: str, backend: str) -> None:
+    """Make a backend announce to one entry that it leaves."""
     entry = fleet.entries[name]
     endpoint = next((e for e in entry.roster.endpoints() if e.id == backend), None)
     if endpoint is not None and entry.roster.took_notice(endpoint, LEAVES).leaves:
-        entry.peers.tell_word(ToldWord(endpoint.run, endpoint.address, is_leaving=True))
+        entry.peers.announce_word(ToldWord(endpoint.run, endpoint.address, is_leaving=True))
 
 
-def test_a_backend_s_word_reaches_ninety_nine_entries_in_few_hops() -> None:
+def test_backend_notice_reaches_99_entries_in_few_hops() -> None:
     fleet = started(SIZES)
-    fleet.carried = 0
-    while fleet.carry():
+    fleet.delivered = 0
+    while fleet.deliver_hop():
         pass
-    fleet.carried = 0
-    say_leaving(fleet, fleet.places[0].name, "b-1")
+    fleet.delivered = 0
+    announce_leaving(fleet, fleet.nodes[0].name, "b-1")
     hops = 0
     while any(e.roster.is_ready("b-1") for e in fleet.entries.values()):
-        assert fleet.carry()
+        assert fleet.deliver_hop()
         hops += 1
-    while fleet.carry():
+    while fleet.deliver_hop():
         pass
     assert hops <= 6
-    assert fleet.carried < 1_000
+    assert fleet.delivered < 1_000
 
 
-def test_a_link_that_is_opened_brings_the_words_that_hold() -> None:
+def test_new_link_delivers_valid_backend_notices() -> None:
     fleet = started((6, 5, 4))
-    fleet.cut = {"domain-1"}
+    fleet.partitioned = {"domain-1"}
     fleet.pass_turns(2)
-    say_leaving(fleet, fleet.places[0].name, "b-1")
+    announce_leaving(fleet, fleet.nodes[0].name, "b-1")
     fleet.pass_turns(2)
-    ready = {e.place.domain for e in fleet.entries.values() if e.roster.is_ready("b-1")}
+    ready = {e.node.domain for e in fleet.entries.values() if e.roster.is_ready("b-1")}
     assert ready == {"domain-1"}
-    fleet.cut = set()
+    fleet.partitioned = set()
     fleet.pass_turns(2)
     assert not any(e.roster.is_ready("b-1") for e in fleet.entries.values())
 
 
-def test_parts_of_a_limit_follow_callers_where_all_hear_each_other() -> None:
+def test_limit_shares_follow_demand_in_a_mesh() -> None:
     fleet = started((4, 3))
     busy, *others = fleet.entries.values()
     for _ in range(20):
         busy.peers._budget.saw_request("ink")
-    assert busy.peers._shares.share("ink").part < 0.3, "nothing is told without a limit"
+    assert busy.peers._shares.share("ink").part < 0.3, "no demand is sent without a limit"
     busy.roster.heard_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
-    busy.peers.tell_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
+    busy.peers.announce_word(ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(7.0)))
     for _ in range(SETTLE_TURNS):
         busy.peers._budget.saw_request("ink")
         fleet.pass_turns(1)
@@ -198,70 +198,70 @@
     assert all(entry.peers._shares.share("ink").part < 0.05 for entry in others)
 
 
-def test_a_limit_taken_back_is_known_to_all() -> None:
+def test_removed_limit_reaches_all_entries() -> None:
     fleet = started((6, 5, 4))
     entry = next(iter(fleet.entries.values()))
     for rate, holds in ((7.0, True), (None, False)):
         fleet.clock.advance(10)
         told = ToldWord("b-1", "10.9.0.1:b-1", limit=RateWord(rate))
         entry.roster.heard_word(told)
-        entry.peers.tell_word(told)
+        entry.peers.announce_word(told)
         fleet.pass_turns(SETTLE_TURNS)
         assert {e.roster.has_limits for e in fleet.entries.values()} == {holds}
 
 
-def test_loads_are_told_within_the_domain_only() -> None:
+def test_loads_are_sent_within_the_domain_only() -> None:
     fleet = started(SIZES)
-    first = fleet.entries[fleet.places[0].name]
+    first = fleet.entries[fleet.nodes[0].name]
     first.roster._members["b-1"].own = 2
     fleet.pass_turns(SETTLE_TURNS // 2)
     heard = {
-        e.place.domain
+        e.node.domain
         for e in fleet.entries.values()
-        if e is not first and e.roster._peers.of("b-1")
+        if e is not first and e.roster._peers.requests_at("b-1")
     }
     assert heard == {"domain-0"}
-    near = [e for e in fleet.entries.values() if e.place.domain == "domain-0" and e is not first]
-    assert all(e.roster._peers.of("b-1") == 2 for e in near)
+    near = [e for e in fleet.entries.values() if e.node.domain == "domain-0" and e is not first]
+    assert all(e.roster._peers.requests_at("b-1") == 2 for e in near)
 
 
-def test_old_word_by_another_way_changes_nothing() -> None:
+def test_outdated_change_is_ignored() -> None:
     fleet = started(SIZES)
-    entry = fleet.entries[fleet.places[3].name]
+    entry = fleet.entries[fleet.nodes[3].name]
     before = entry.knows()
     session = next(iter(entry.links.open.values()))
     old = BackendNews("b-1", "ink", "10.9.0.1:9", "domain-0", 3, False, True, 2)
-    entry.peers._took(session, old)  # type: ignore[arg-type]
+    entry.peers._handle_message(session, old)  # type: ignore[arg-type]
     assert entry.knows() == before
 
 
-def test_a_store_that_does_not_answer_holds_up_no_link(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unresponsive_store_does_not_delay_links(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = started((6, 5, 4))
     entry = fleet.entries["front-0-0"]
-    asked, let_go = threading.Event(), threading.Event()
+    asked, released = threading.Event(), threading.Event()
 
     def notes(_kind: str, may_be_old: bool = False) -> list[Note]:
         asked.set()
-        let_go.wait(PATIENCE)
+        released.wait(EVENT_TIMEOUT)
         return []
 
     monkeypatch.setattr(fleet.store, "notes", notes)
-    looked = threading.Event()
-    monkeypatch.setattr(entry.links, "look", looked.set)
+    reconciled = threading.Event()
+    monkeypatch.setattr(entry.links, "reconcile", reconciled.set)
     fleet.clock.advance(20 * SECOND)
     entry.peers.start()
     try:
-        assert asked.wait(PATIENCE)
-        looked.clear()
-        assert looked.wait(PATIENCE)
-        assert not let_go.is_set()
+        assert asked.wait(EVENT_TIMEOUT)
+        reconciled.clear()
+        assert reconciled.wait(EVENT_TIMEOUT)
+        assert not released.is_set()
     finally:
         entry.peers._stop.set()
-        let_go.set()
+        released.set()
 
 
 class SpreadMachine(RuleBasedStateMachine):
-    """Joins, deaths, cuts and changes in any order, over an overlay of 15 entries."""
+    """Joins, failures, partitions and changes in any order, in an overlay of 15 entries."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -279,31 +279,31 @@
 
     @rule(n=st.integers(0, 14))
     def watch(self, n: int) -> None:
-        self.fleet.watch_at(self.watcher(n))
+        self.fleet.apply_watch_events(self.watcher(n))
 
     @rule(
         backend=st.integers(0, 7),
         state=st.sampled_from([EndpointState.READY, EndpointState.LEAVING, None]),
-        starts_again=st.booleans(),
+        is_restart=st.booleans(),
     )
-    def change(self, backend: int, state: EndpointState | None, starts_again: bool) -> None:
-        self.fleet.change(f"b-{backend}", state, starts_again)
+    def change(self, backend: int, state: EndpointState | None, is_restart: bool) -> None:
+        self.fleet.change(f"b-{backend}", state, is_restart)
 
     @rule(n=st.integers(0, 14), backend=st.integers(0, 7))
-    def say_leaving(self, n: int, backend: int) -> None:
-        say_leaving(self.fleet, self.watcher(n), f"b-{backend}")
+    def announce_leaving(self, n: int, backend: int) -> None:
+        announce_leaving(self.fleet, self.watcher(n), f"b-{backend}")
 
     @rule(turns=st.integers(1, 6))
     def wait(self, turns: int) -> None:
         self.fleet.pass_turns(turns)
 
     @rule(domain=st.integers(0, 2))
-    def cut(self, domain: int) -> None:
-        self.fleet.cut = {f"domain-{domain}"}
+    def partition(self, domain: int) -> None:
+        self.fleet.partitioned = {f"domain-{domain}"}
 
     @rule()
     def heal(self) -> None:
-        self.fleet.cut = set()
+        self.fleet.partitioned = set()
 
     @precondition(lambda self: len(self.fleet.entries) > 10)
     @rule(n=st.integers(0, 14))
@@ -312,18 +312,18 @@
 
     @rule(n=st.integers(0, 14), reads_list=st.booleans())
     def start(self, n: int, reads_list: bool) -> None:
-        name = self.fleet.places[n].name
+        name = self.fleet.nodes[n].name
         if name not in self.fleet.entries:
             self.fleet.restart(name)
             if reads_list:
-                self.fleet.list_at(name)
+                self.fleet.list_store(name)
 
     @rule()
     def settle(self) -> None:
-        """In touch and with one watcher that reads the list, all come to know the truth."""
-        self.fleet.cut = set()
+        """Without partitions, one entry that lists the store brings all of them up to date."""
+        self.fleet.partitioned = set()
         self.fleet.keep_links()
-        self.fleet.list_at(self.watcher(0))
+        self.fleet.list_store(self.watcher(0))
         self.fleet.pass_turns(SETTLE_TURNS)
         for name, entry in self.fleet.entries.items():
             known = {backend: state for backend, (_, state) in entry.knows().items()}
@@ -335,7 +335,7 @@
         assert len(told) == 1
 
     @invariant()
-    def nothing_goes_back(self) -> None:
+    def positions_never_decrease(self) -> None:
         for name, entry in self.fleet.entries.items():
             for backend, (position, _) in entry.knows().items():
                 key = (name, id(entry), backend)
--- a/src/canvasyoke/membership/_links.py
+++ b/src/canvasyoke/membership/_links.py
@@ -1,4 +1,4 @@
-"""Keeps the links that the overlay asks for, and drops those that it no longer does."""
+"""Opens and closes links so that they match the overlay."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from typing import Final
 
 from canvasyoke._clock import SECOND, Clock
-from canvasyoke.membership._overlay import choose_dials, is_mesh
-from canvasyoke.membership._places import Place
+from canvasyoke.membership._nodes import Node
+from canvasyoke.membership._overlay import choose_peers, is_mesh
 from canvasyoke.protocol import Message
 from canvasyoke.transport import LinkClient, LinkServer, Session
 
-#: Milliseconds without a link after which a process that is dialled counts as away, and
-#: for which the next one in order is dialled in its place. Connecting takes some 5 ms; a
-#: process that was killed is back after one to three seconds.
-_AWAY_AFTER: Final = 3 * SECOND
-_AWAY_FOR: Final = 5 * SECOND
-#: Milliseconds by which, in a mesh, the second of two processes in order of their names
-#: leaves it to the first one to dial. Both dialling made two links of most.
-_YIELD: Final = 500
+#: Milliseconds without a link after which a dialled process is considered unavailable, and
+#: for which the overlay then leaves it out. A killed process restarts within 3 s.
+_UNAVAILABLE_AFTER: Final = 3 * SECOND
+_UNAVAILABLE_FOR: Final = 5 * SECOND
+#: Milliseconds for which, in a mesh, the process whose name sorts last waits for the other
+#: one to dial, so that a pair does not open two links.
+_DIAL_DELAY: Final = 500
 
 
 class OverlayLinks:
-    """The links of one process. ``look`` is called by one task, the rest by any."""
+    """The links of one process.
+
+    ``reconcile`` must be called from a single thread; the other methods from any.
+    """
 
     def __init__(
         self,
-        own: Place,
+        own: Node,
         role: str,
         incarnation: str,
         clock: Clock,
@@ -47,32 +49,35 @@
         self._on_close = on_close
         self._link_key = b""
         self._server: LinkServer | None = None
-        self._places: dict[str, Place] = {}
+        self._nodes: dict[str, Node] = {}
         self._clients: dict[str, LinkClient] = {}
-        #: Since when a process is wanted, or was last linked with.
-        self._since: dict[str, int] = {}
-        #: Until when a process counts as away.
-        self._away: dict[str, int] = {}
+        #: Time at which each wanted process was first wanted or last linked.
+        self._unlinked_since: dict[str, int] = {}
+        #: Time until which a process is considered unavailable.
+        self._unavailable_until: dict[str, int] = {}
         self._lock = threading.Lock()
         self._sessions: dict[str, Session] = {}
 
     @property
     def is_mesh(self) -> bool:
-        """Tell whether all processes link with each other."""
-        return is_mesh(len(self._places) + 1)
+        """Whether the overlay is a full mesh."""
+        return is_mesh(len(self._nodes) + 1)
 
     @property
     def linked(self) -> int:
-        """Return the number of processes linked with."""
+        """Number of linked processes."""
         return len(self.sessions())
 
     def sessions(self) -> list[Session]:
-        """Return the sessions that stand."""
+        """Return the open sessions."""
         with self._lock:
             return [session for session in self._sessions.values() if not session.closed]
 
     def listen(self, link_key: bytes) -> None:
-        """Begin to take links from others; another key is for links that begin later."""
+        """Accept links that authenticate with ``link_key``.
+
+        A changed key applies to new links only.
+        """
         if link_key == self._link_key:
             return
         self._link_key = link_key
@@ -88,57 +93,61 @@
             self._incarnation,
             self._clock,
             self._on_message,
-            self._opened,
-            self._closed,
+            self._handle_open,
+            self._handle_close,
         )
         self._server.start()
 
-    def set_places(self, others: Iterable[Place]) -> None:
-        """Take note of where the other processes are."""
-        self._places = {place.name: place for place in others}
+    def set_nodes(self, others: Iterable[Node]) -> None:
+        """Set the addresses of the other processes."""
+        self._nodes = {node.name: node for node in others}
 
-    def look(self) -> None:
-        """Dial who is wanted, and let go of who is not."""
+    def reconcile(self) -> None:
+        """Dial the peers that the overlay requires, and close other links once those are open."""
         if self._server is None:
             return
         now = self._clock.now()
-        self._away = {name: until for name, until in self._away.items() if until > now}
-        wanted = choose_dials(
-            self._own, [p for name, p in self._places.items() if name not in self._away]
+        self._unavailable_until = {
+            name: until for name, until in self._unavailable_until.items() if until > now
+        }
+        wanted = choose_peers(
+            self._own, [p for name, p in self._nodes.items() if name not in self._unavailable_until]
         )
-        self._since = {name: at for name, at in self._since.items() if name in wanted}
+        self._unlinked_since = {
+            name: at for name, at in self._unlinked_since.items() if name in wanted
+        }
         for name in sorted(wanted):
-            self._want(name, now)
+            self._ensure_link(name, now)
         if all(self._is_linked(name) for name in wanted):
             for name in self._clients.keys() - wanted:
-                self._let_go(name)
+                self._stop_client(name)
 
-    def _want(self, name: str, now: int) -> None:
-        since = self._since.setdefault(name, now)
+    def _ensure_link(self, name: str, now: int) -> None:
+        since = self._unlinked_since.setdefault(name, now)
         if self._is_linked(name):
-            self._since[name] = now
+            self._unlinked_since[name] = now
             return
-        if now - since > _AWAY_AFTER:
-            self._away[name] = now + _AWAY_FOR
-            self._let_go(name)
+        if now - since > _UNAVAILABLE_AFTER:
+            self._unavailable_until[name] = now + _UNAVAILABLE_FOR
+            self._stop_client(name)
             return
-        yields = self.is_mesh and name < self._own.name and now - since < _YIELD
-        if not yields:
-            self._dial(self._places[name])
+        is_delayed = self.is_mesh and name < self._own.name and now - since < _DIAL_DELAY
+        if not is_delayed:
+            self._dial(self._nodes[name])
 
     def _is_linked(self, name: str) -> bool:
         with self._lock:
             session = self._sessions.get(name)
         return session is not None and not session.closed
 
-    def _dial(self, place: Place) -> None:
-        client = self._clients.get(place.name)
+    def _dial(self, node: Node) -> None:
+        client = self._clients.get(node.name)
         if client is not None:
-            if client.address == place.address:
+            if client.address == node.address:
                 return
             client.stop()
         client = LinkClient(
-            place.address,
+            node.address,
             self._link_key,
             self._role,
             self._own.name,
@@ -146,24 +155,24 @@
             self._clock,
             self._rng,
             self._on_message,
-            self._opened,
-            self._closed,
+            self._handle_open,
+            self._handle_close,
         )
-        self._clients[place.name] = client
+        self._clients[node.name] = client
         client.start()
 
-    def _let_go(self, name: str) -> None:
-        self._since.pop(name, None)
+    def _stop_client(self, name: str) -> None:
+        self._unlinked_since.pop(name, None)
         client = self._clients.pop(name, None)
         if client is not None:
             client.stop()
 
-    def _opened(self, session: Session) -> None:
+    def _handle_open(self, session: Session) -> None:
         with self._lock:
             self._sessions[session.peer] = session
         self._on_open(session)
 
-    def _closed(self, session: Session) -> None:
+    def _handle_close(self, session: Session) -> None:
         with self._lock:
             is_current = self._sessions.get(session.peer) is session
             if is_current:
--- a/src/canvasyoke/membership/_overlay.py
+++ b/src/canvasyoke/membership/_overlay.py
@@ -1,17 +1,17 @@
-"""Which other processes one links with: a rule that each evaluates alone.
+"""Topology of the overlay: which peers a process dials.
 
-A small fleet is a full mesh: every message takes one hop. A mesh of 99 entries has 4,851
-links and cost each process 212 tasks, so a larger fleet is an overlay of few links:
+Each process evaluates the rule locally. A small fleet is a full mesh, in which every message
+takes one hop. The number of links in a mesh grows quadratically, so larger fleets use a
+sparse overlay:
 
-- within a failure domain a ring in an order that all agree on, with chords of the square
-  root of its size: each process dials two others, is dialled by two, and a message takes
-  about as many hops as the chord is long;
-- between domains, again a ring with chords, of doubling length: each process dials one
-  partner in each of those domains. Partners are dealt evenly, and no process of a small
-  domain is dialled by more than a few of a large one.
+- Within a failure domain, processes form a ring ordered by ``hash_order``. Each one dials
+  its successor and the process one chord ahead; the chord is the square root of the ring
+  size.
+- Domains form a ring with chords of doubling length. Each process dials at most one process
+  in each domain that is a chord ahead, spread evenly over that domain.
 
-Links are used in both directions. A process that is away is left out by those who dial
-it, and the next one in order takes its place.
+Links are bidirectional. Dialling processes leave out unavailable peers, which promotes the
+next process in the order.
 """
 
 from __future__ import annotations
@@ -21,61 +21,61 @@
 from collections.abc import Collection
 from typing import Final
 
-from canvasyoke.membership._places import Place, precedence
+from canvasyoke.membership._nodes import Node, hash_order
 
-#: Processes up to which all link with all. A dozen links cost a process 24 tasks, about
-#: what the overlay of a hundred processes does.
+#: Largest fleet that is a full mesh. A larger mesh needs more links per process than the
+#: sparse overlay.
 MESH_LIMIT: Final = 12
-#: Processes of one other domain by which one is dialled at the most. Two, so that one
-#: that dies takes no domain's only link with it.
-_DIALLED_BY: Final = 2
+#: Largest number of processes of one remote domain that dial the same process. With two, the
+#: death of one process does not cut the only link between two domains.
+_MAX_DIALERS: Final = 2
 
 
 def is_mesh(count: int) -> bool:
-    """Tell whether ``count`` processes all link with each other."""
+    """Return whether a fleet of ``count`` processes is a full mesh."""
     return count <= MESH_LIMIT
 
 
-def choose_dials(own: Place, others: Collection[Place]) -> frozenset[str]:
-    """Return the names of those that ``own`` dials among those that are not away."""
+def choose_peers(own: Node, others: Collection[Node]) -> frozenset[str]:
+    """Return the names of the peers that ``own`` dials; ``others`` are those available."""
     if is_mesh(len(others) + 1):
-        return frozenset(place.name for place in others)
-    domains = _by_domain([own, *others])
+        return frozenset(node.name for node in others)
+    domains = _group_by_domain([own, *others])
     position = domains[own.domain].index(own.name)
-    chosen = _in_own_domain(domains[own.domain], position)
-    for domain in _domains_ahead(sorted(domains), own.domain):
-        chosen |= _partner(position, len(domains[own.domain]), domains[domain])
+    chosen = _ring_neighbors(domains[own.domain], position)
+    for domain in _chord_domains(sorted(domains), own.domain):
+        chosen |= _choose_partner(position, len(domains[own.domain]), domains[domain])
     return frozenset(chosen - {own.name})
 
 
-def _partner(position: int, count: int, theirs: list[str]) -> set[str]:
-    """Return whom the process at ``position`` of ``count`` dials in another domain."""
-    a_partner = max(1, -(-count // (_DIALLED_BY * len(theirs))))
-    if position % a_partner:
+def _choose_partner(position: int, count: int, remote: list[str]) -> set[str]:
+    """Return which of ``remote`` the process at ``position`` of ``count`` dials, if any."""
+    group_size = max(1, -(-count // (_MAX_DIALERS * len(remote))))
+    if position % group_size:
         return set()
-    return {theirs[position * len(theirs) // count]}
+    return {remote[position * len(remote) // count]}
 
 
-def _by_domain(places: Collection[Place]) -> dict[str, list[str]]:
-    """Return the names of each domain's processes in their common order."""
+def _group_by_domain(nodes: Collection[Node]) -> dict[str, list[str]]:
+    """Return the process names of each domain, sorted by ``hash_order``."""
     names: defaultdict[str, list[str]] = defaultdict(list)
-    for place in places:
-        names[place.domain].append(place.name)
-    return {domain: sorted(found, key=precedence) for domain, found in names.items()}
+    for node in nodes:
+        names[node.domain].append(node.name)
+    return {domain: sorted(domain_names, key=hash_order) for domain, domain_names in names.items()}
 
 
-def _in_own_domain(ring: list[str], position: int) -> set[str]:
-    """Return the next process of the ring, and the one a chord ahead."""
+def _ring_neighbors(ring: list[str], position: int) -> set[str]:
+    """Return the successor of ``position`` and the process one chord ahead."""
     steps = (1, max(2, math.isqrt(len(ring))))
     return {ring[(position + step) % len(ring)] for step in steps}
 
 
-def _domains_ahead(ring: list[str], own: str) -> list[str]:
-    """Return the domains one, two, four and so on ahead, up to half of the ring."""
+def _chord_domains(ring: list[str], own: str) -> list[str]:
+    """Return the domains 1, 2, 4, ... positions ahead, up to half of the ring."""
     position = ring.index(own)
-    ahead = []
+    chosen = []
     step = 1
     while step <= len(ring) // 2:
-        ahead.append(ring[(position + step) % len(ring)])
+        chosen.append(ring[(position + step) % len(ring)])
         step *= 2
-    return ahead
+    return chosen
--- a/src/canvasyoke/membership/tests/test_overlay.py
+++ b/src/canvasyoke/membership/tests/test_overlay.py
@@ -1,4 +1,4 @@
-"""Which links a fleet has, and what they are good for."""
+"""Tests of the overlay topology."""
 
 from __future__ import annotations
 
@@ -9,44 +9,43 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from canvasyoke.membership import MESH_LIMIT, Place, choose_dials
-from canvasyoke.membership._places import precedence
+from canvasyoke.membership import MESH_LIMIT, Node, choose_peers
+from canvasyoke.membership._nodes import hash_order
 
 
-def fleet(*sizes: int) -> list[Place]:
-    """Return processes, ``sizes`` of them in each domain."""
+def fleet(*sizes: int) -> list[Node]:
+    """Return a fleet with one domain for each of ``sizes``."""
     return [
-        Place(f"front-{domain}-{n}", f"10.{domain}.0.{n}:7340", f"domain-{domain}")
+        Node(f"front-{domain}-{n}", f"10.{domain}.0.{n}:7340", f"domain-{domain}")
         for domain, size in enumerate(sizes)
         for n in range(size)
     ]
 
 
-def links(places: list[Place], away: frozenset[str] = frozenset()) -> dict[str, set[str]]:
-    """Return who is linked with whom when all dial whom they choose."""
+def links(nodes: list[Node], unavailable: frozenset[str] = frozenset()) -> dict[str, set[str]]:
+    """Return the neighbors of each process once all have dialled their peers."""
     linked: defaultdict[str, set[str]] = defaultdict(set)
-    for own in places:
-        others = [p for p in places if p is not own and p.name not in away]
-        for name in choose_dials(own, others):
+    for own in nodes:
+        others = [p for p in nodes if p is not own and p.name not in unavailable]
+        for name in choose_peers(own, others):
             linked[own.name].add(name)
             linked[name].add(own.name)
     return linked
 
 
-def hops(linked: dict[str, set[str]], start: str) -> dict[str, int]:
-    """Return in how many hops word from ``start`` reaches each process."""
+def count_hops(linked: dict[str, set[str]], start: str) -> dict[str, int]:
+    """Return the distance in hops from ``start`` to each reachable process."""
     reached = {start: 0}
-    edge = [start]
-    while edge:
-        edge = [name for at in edge for name in linked[at] if name not in reached]
-        for name in edge:
-            near = [reached[n] for n in linked[name] if n in reached]
-            reached.setdefault(name, min(near) + 1)
+    frontier = [start]
+    while frontier:
+        frontier = [name for at in frontier for name in linked[at] if name not in reached]
+        for name in frontier:
+            reached_neighbors = [reached[n] for n in linked[name] if n in reached]
+            reached.setdefault(name, min(reached_neighbors) + 1)
     return reached
 
 
-#: Processes by domain, most links that one has, and hops to the last one. A mesh of the
-#: second fleet would have 98 links a process, one of the last 1,495.
+#: Name, processes by domain, most links of one process, most hops to any process.
 FLEETS = [
     ("a small fleet is a mesh", (3, 3, 2), 7, 1),
     ("twice the mesh", (8, 8, 8), 8, 4),
@@ -60,11 +59,11 @@
 
 @pytest.mark.parametrize(("sizes", "most", "farthest"), [case[1:] for case in FLEETS])
 def test_few_links_reach_all_in_few_hops(sizes: tuple[int, ...], most: int, farthest: int) -> None:
-    places = fleet(*sizes)
-    linked = links(places)
+    nodes = fleet(*sizes)
+    linked = links(nodes)
     assert max(len(names) for names in linked.values()) <= most
-    reached = hops(linked, places[0].name)
-    assert len(reached) == len(places)
+    reached = count_hops(linked, nodes[0].name)
+    assert len(reached) == len(nodes)
     assert max(reached.values()) <= farthest
 
 
@@ -74,33 +73,31 @@
     seed=st.integers(0, 1 << 30),
     share=st.floats(0, 0.6),
 )
-def test_all_that_are_in_touch_reach_each_other_whoever_is_away(
-    sizes: list[int], seed: int, share: float
-) -> None:
-    places = fleet(*sizes)
+def test_available_processes_stay_connected(sizes: list[int], seed: int, share: float) -> None:
+    nodes = fleet(*sizes)
     rng = random.Random(seed)
-    away = frozenset(p.name for p in places if rng.random() < share)
-    alive = [p for p in places if p.name not in away]
+    unavailable = frozenset(p.name for p in nodes if rng.random() < share)
+    alive = [p for p in nodes if p.name not in unavailable]
     if not alive:
         return
-    linked = links(alive, away)
-    assert len(hops(linked, alive[0].name)) == len(alive)
+    linked = links(alive, unavailable)
+    assert len(count_hops(linked, alive[0].name)) == len(alive)
 
 
-def test_a_domain_more_or_less_in_touch_leaves_the_others_linked() -> None:
-    places = fleet(22, 17, 21, 19, 20)
-    cut = frozenset(p.name for p in places if p.domain == "domain-2")
-    alive = [p for p in places if p.name not in cut]
-    assert len(hops(links(alive, cut), alive[0].name)) == len(alive)
+def test_partitioned_domain_leaves_the_others_connected() -> None:
+    nodes = fleet(22, 17, 21, 19, 20)
+    partitioned = frozenset(p.name for p in nodes if p.domain == "domain-2")
+    alive = [p for p in nodes if p.name not in partitioned]
+    assert len(count_hops(links(alive, partitioned), alive[0].name)) == len(alive)
 
 
-def test_each_alone_comes_to_the_same_order() -> None:
+def test_order_is_independent_of_input_order() -> None:
     names = [p.name for p in fleet(9)]
-    orders = {tuple(sorted(random.Random(n).sample(names, 9), key=precedence)) for n in range(9)}
+    orders = {tuple(sorted(random.Random(n).sample(names, 9), key=hash_order)) for n in range(9)}
     assert len(orders) == 1
     assert orders != {tuple(names)}
 
 
-def test_the_limit_of_a_mesh_is_where_links_begin_to_be_few() -> None:
+def test_fleet_above_the_mesh_limit_has_few_links() -> None:
     assert {len(n) for n in links(fleet(MESH_LIMIT)).values()} == {MESH_LIMIT - 1}
     assert max(len(n) for n in links(fleet(MESH_LIMIT + 1)).values()) <= 4
