--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -23,8 +23,8 @@
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
 from canvasyoke.direct._member import Member
 from canvasyoke.direct._pass_over import BackendEvidence
-from canvasyoke.direct._peer_loads import PeerLoads, ToldLoad
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._peer_loads import PeerLoad, PeerLoads
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, StorePosition
 
 #: Milliseconds over which the weight of a load report decays linearly to zero.
@@ -83,7 +83,7 @@
     _durations: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self._known = KnownBackends(StoreReturn(self.clock))
+        self._known = KnownBackends(StoreRestore(self.clock))
         self._groups = RankGroups(self.clock)
         self._health = BackendHealth(self.clock)
         self._words = BackendNotices(self.clock, BackendLimits(self.clock, self.rng))
@@ -233,12 +233,12 @@
                 self._fleet.name, self.domain, self._fleet.domain_peers, endpoints
             )
 
-    def update_peer_load(self, peer: str, load: ToldLoad) -> None:
+    def update_peer_load(self, peer: str, load: PeerLoad) -> None:
         """Store another entry's in-flight requests."""
         with self._lock:
-            self._peers.took(peer, load, self.clock.now())
+            self._peers.update(peer, load, self.clock.now())
 
-    def unrelayed_loads(self) -> dict[str, ToldLoad]:
+    def unrelayed_loads(self) -> dict[str, PeerLoad]:
         """Return the loads received from other entries since the last call."""
         with self._lock:
             return self._peers.take_unrelayed()
@@ -246,7 +246,7 @@
     def remove_peer(self, peer: str) -> None:
         """Remove another entry's load."""
         with self._lock:
-            self._peers.left(peer)
+            self._peers.remove(peer)
 
     def ids(self) -> frozenset[str]:
         """Return the ids of all known backends."""
@@ -268,7 +268,7 @@
         return member.own_requests + self._peer_requests(member)
 
     def _peer_requests(self, member: Member) -> int:
-        known = self._peers.of(member.endpoint.run)
+        known = self._peers.requests_at(member.endpoint.run)
         if self._fleet.is_full_mesh and self._peers.entries:
             return known
         # Entries of other domains do not send their load to this entry.
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -9,8 +9,14 @@
 from canvasyoke._clock import Clock
 from canvasyoke.direct._known_backends import BackendChange
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._store_follower import IDLE, PAUSE, PAUSE_AFTER_NEWS, WATCH, StoreFollower
-from canvasyoke.direct._store_return import RETURN_TIME
+from canvasyoke.direct._store_follower import (
+    IDLE_INTERVAL,
+    PAUSE_AFTER_CHANGES,
+    PAUSE_AFTER_TIMEOUT,
+    WATCH_TIMEOUT,
+    StoreFollower,
+)
+from canvasyoke.direct._store_restore import REREGISTRATION_TIME
 from canvasyoke.observe import part_logger
 from canvasyoke.state import (
     Endpoint,
@@ -69,7 +75,7 @@
     def _fetch(self, position: StorePosition) -> EndpointList | EndpointsSeen:
         if position:
             return self._store.watch_endpoints(position, self._watch_timeout())
-        return self._store.endpoints(self._contact.patience)
+        return self._store.endpoints(self._availability.timeout)
 
     def _run(self) -> None:
         position: StorePosition = 0
@@ -78,10 +84,10 @@
                 position = 0
                 self._deferred.clear()
                 self._unreadable = {}
-                self._contact.left_to_others()
-                self._pause(IDLE)
+                self._availability.suspend()
+                self._pause(IDLE_INTERVAL)
                 continue
-            self._contact.resumes()
+            self._availability.resume()
             if self._roster.needs_list and self._roster.doubted:
                 position = 0
             match self._fetch(position):
@@ -93,10 +99,10 @@
                     self._mark_in_sync()
                     self._position = position = seen.position
                     self._apply_changes(seen)
-                    self._pause(PAUSE_AFTER_NEWS)
+                    self._pause(PAUSE_AFTER_CHANGES)
                 case NothingNew():
                     self._mark_in_sync()
-                    self._pause(PAUSE)
+                    self._pause(PAUSE_AFTER_TIMEOUT)
                 case HistoryGone():
                     _log.info(
                         "the store forgot its history",
@@ -106,24 +112,24 @@
                     position = 0
                 case seen:
                     position = 0
-                    self._contact.failed(seen)
+                    self._availability.failed(seen)
             self._apply_deferred()
 
     def _mark_in_sync(self) -> None:
         """Record a usable answer: the list is in sync with the store."""
-        self._contact.answered()
+        self._availability.succeeded()
         self._roster.confirm_list()
 
     def _watch_timeout(self) -> int:
         """Return the timeout of the next watch, which ends when the next removal is due."""
         if not self._deferred:
-            return WATCH
-        return max(1, min(WATCH, min(self._deferred.values()) - self._clock.now()))
+            return WATCH_TIMEOUT
+        return max(1, min(WATCH_TIMEOUT, min(self._deferred.values()) - self._clock.now()))
 
     def _grace_period_end(self) -> int:
         """Return the time on the clock until which an expired entry may be written again."""
-        regained = self._contact.regained_at
-        return regained + RETURN_TIME if regained else 0
+        regained = self._availability.reconnected_at
+        return regained + REREGISTRATION_TIME if regained else 0
 
     def _apply_list(self, seen: EndpointList) -> None:
         listed = frozenset(endpoint.id for endpoint in seen.endpoints)
@@ -132,9 +138,9 @@
         until = self._grace_period_end()
         if self._roster.is_known and era_of(seen.position) > self._roster.era:
             # Backends that the restored copy lacks are usually running, and will register again.
-            until = max(until, self._clock.now() + RETURN_TIME)
+            until = max(until, self._clock.now() + REREGISTRATION_TIME)
         if len(missing) >= max(_MASS_EXPIRY_COUNT, _MASS_EXPIRY_FRACTION * len(self._roster.ids())):
-            until = max(until, self._clock.now() + RETURN_TIME)
+            until = max(until, self._clock.now() + REREGISTRATION_TIME)
         keep = missing - unreadable.keys() if self._clock.now() < until else frozenset()
         for endpoint_id in keep:
             self._defer_removal(endpoint_id, until)
@@ -206,7 +212,7 @@
 
     def _apply_deferred(self) -> None:
         now = self._clock.now()
-        if self._contact.is_lost:
+        if self._availability.is_lost:
             return
         for endpoint_id, until in list(self._deferred.items()):
             if now >= until:
--- a/src/canvasyoke/direct/_home_share.py
+++ b/src/canvasyoke/direct/_home_share.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Collection, Iterable
 
-from canvasyoke.membership import precedence
+from canvasyoke.membership import hash_order
 from canvasyoke.state import Endpoint
 
 
@@ -22,7 +22,7 @@
     assignment from a common order. Services with fewer backends in the domain than entries
     are not assigned.
     """
-    entries = sorted({*domain_peers, name}, key=precedence)
+    entries = sorted({*domain_peers, name}, key=hash_order)
     position = entries.index(name)
     by_service: dict[str, list[str]] = {}
     for endpoint in endpoints:
@@ -31,7 +31,7 @@
     share: set[str] = set()
     for ids in by_service.values():
         if len(ids) >= len(entries):
-            ordered = sorted(ids, key=precedence)
+            ordered = sorted(ids, key=hash_order)
             first = position * len(ordered) // len(entries)
             share.update(ordered[first : (position + 1) * len(ordered) // len(entries)])
     return frozenset(share)
--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -2,7 +2,7 @@
 
 Updates come from several sources and out of order; positions in the store's history tell which
 are newer. Positions are not sufficient in the seconds after the store was restored from a copy;
-``_store_return`` has the rules for that time.
+``_store_restore`` has the rules for that time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Final
 
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, EndpointState, StorePosition, era_of
 
 #: Removed backends that are remembered, so that stale updates of them are recognized.
@@ -45,7 +45,7 @@
     Methods that change backends return the changes.
     """
 
-    store_return: StoreReturn
+    store_return: StoreRestore
     #: Whether a list has been read.
     is_known: bool = False
     #: Position up to which all changes are known; 0 before the first list.
@@ -194,7 +194,7 @@
             self.position = max(self.position, position)
 
     def _observe_position(self, position: StorePosition) -> None:
-        self.store_return.heard_of(position, self.is_known)
+        self.store_return.observe_position(position, self.is_known)
 
     def _may_be_rewritten(self, endpoint: Endpoint) -> bool:
         """Tell whether a backend that a list lacks may be alive and about to rewrite its entry."""
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -82,7 +82,7 @@
         self._budget.entries = _ASSUMED_ENTRIES
         self._metrics = DirectMetrics()
         self._quarantine = Quarantine(
-            self._clock, lambda name, case: self._peers.tell_case(name, case)
+            self._clock, lambda name, case: self._peers.announce_case(name, case)
         )
         make_store = FLEET_STORES.get(settings.adapter)
         self._peers = EntryPeers(
@@ -103,14 +103,14 @@
         self._endpoint_follower = EndpointFollower(
             make_store(settings.store),
             self._roster,
-            self._peers.tell_backend,
+            self._peers.announce_backend,
             self._peers.is_watching,
             self._clock,
             rng,
         )
         port = DIRECT_BACKENDS.get(settings.adapter)()
         crash_detector = CrashDetector(self._roster, self._metrics)
-        words = NoticeHandler(self._roster, self._metrics, self._peers.tell_word)
+        words = NoticeHandler(self._roster, self._metrics, self._peers.announce_word)
         forwarder = Forwarder(
             port,
             self._roster,
@@ -126,7 +126,7 @@
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
-            self._peers.tell_group,
+            self._peers.announce_group,
             self._clock,
         )
         self._paces = PaceMonitor(
@@ -134,7 +134,7 @@
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
-            self._peers.tell_pace,
+            self._peers.announce_pace,
         )
         self._domains = DomainProber(
             self._roster.probe_addresses, self._roster.record_connect_success
@@ -230,11 +230,11 @@
         """Avoid an unresponsive backend, and notify the other entries."""
         if self._roster.mark_unresponsive(backend):
             _log.warning("backend says nothing", backend=backend)
-            self._peers.tell_silence(backend)
+            self._peers.announce_silence(backend)
 
     def _on_new_table(self, table: RoutingTable) -> None:
         self._caller_server.set_limits(_server_limits(table.limits))
-        self._peers.tell_table()
+        self._peers.announce_table()
 
     def _not_ready(self) -> str:
         if self._stopping.is_set():
--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/need_model.py
@@ -20,7 +20,7 @@
 from canvasyoke.direct._call import Attempt, DirectCall, ErrorAnswer
 from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._demand_shares import DemandShares
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._refusals import RefusalPolicy
 from canvasyoke.direct._roster import FleetView, Roster
 from canvasyoke.direct.tests.calls import ROUTE, make_call
@@ -162,7 +162,7 @@
 
     def _load_reports(self, entry: _Entry) -> Callable[[], None]:
         def report() -> None:
-            load = ToldLoad(self.clock.now(), entry.roster.own_load())
+            load = PeerLoad(self.clock.now(), entry.roster.own_load())
             demands = {_SERVICE: entry.budget.request_rate(_SERVICE)}
             self._broadcast(entry, lambda other: other.roster.update_peer_load(entry.name, load))
             self._broadcast(entry, lambda other: other.shares.report_demand(entry.name, demands))
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -10,7 +10,7 @@
 from canvasyoke.backend import DirectBackendPort
 from canvasyoke.direct._choice import BackendQuery, Chosen
 from canvasyoke.direct._pace_monitor import PaceMonitor
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort
 from canvasyoke.state import (
@@ -85,7 +85,7 @@
         play_events(roster, clock, 100, waited // 100)
     else:
         clock.advance(waited)
-    roster.update_peer_load("entry-2", ToldLoad(1, {RANKS[1]: others}))
+    roster.update_peer_load("entry-2", PeerLoad(1, {RANKS[1]: others}))
     if has_other_events:
         roster.record_stream_event(RANKS[1], 100)
     assert roster.is_overdue(RANKS[1], waited) is expected
--- a/src/canvasyoke/direct/tests/test_known_backends.py
+++ b/src/canvasyoke/direct/tests/test_known_backends.py
@@ -6,7 +6,7 @@
 
 from canvasyoke._clock import ManualClock
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
-from canvasyoke.direct._store_return import StoreReturn
+from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, EndpointState, store_position
 
 READY, LEAVING = EndpointState.READY, EndpointState.LEAVING
@@ -27,7 +27,7 @@
 
     def __init__(self, before: Endpoint | None, later: int = RESTORED) -> None:
         self.clock = ManualClock(start=100_000)
-        self.known = KnownBackends(StoreReturn(self.clock))
+        self.known = KnownBackends(StoreRestore(self.clock))
         self.known.merge([backend(at(0, 5))], at(0, 5))
         if before is None:
             self.known.remove("b", at(0, 122))
@@ -100,7 +100,7 @@
     assert answer.gone is (before is None)
     assert answer.gone or answer.endpoint.state is LEAVING
     # The other entry has read the backend from the copy, at the same position.
-    other = KnownBackends(StoreReturn(restored.clock))
+    other = KnownBackends(StoreRestore(restored.clock))
     other.merge([backend(at(1, 6))], at(1, 6))
     assert other.apply_peer_change(answer)
     assert other.refute(answer) is None, "a correction is not answered"
@@ -108,7 +108,7 @@
 
 def test_backends_from_before_the_restore_are_not_refuted() -> None:
     """The copy may lack it, and an entry started since the restore knows only the copy."""
-    newcomer = KnownBackends(StoreReturn(ManualClock(start=100_000)))
+    newcomer = KnownBackends(StoreRestore(ManualClock(start=100_000)))
     newcomer.merge([], at(1, 6))
     news = BackendChange(backend(at(0, 121)), False, at(0, 121))
     assert not newcomer.apply_peer_change(news)
--- a/src/canvasyoke/direct/tests/test_list_age.py
+++ b/src/canvasyoke/direct/tests/test_list_age.py
@@ -35,7 +35,7 @@
     fleet = SimFleet((2, 2))
     fleet.change("b-1", EndpointState.READY)
     for name in fleet.entries:
-        fleet.list_at(name)
+        fleet.list_store(name)
     fleet.pass_turns(SETTLE_TURNS)
     in_contact, *others = fleet.entries.values()
     before = [entry.roster.list_age for entry in others]
--- a/src/canvasyoke/direct/tests/test_roster.py
+++ b/src/canvasyoke/direct/tests/test_roster.py
@@ -11,7 +11,7 @@
 from canvasyoke.backend import BackendNotice, ReportedLoad
 from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._known_backends import BackendChange
-from canvasyoke.direct._peer_loads import ToldLoad
+from canvasyoke.direct._peer_loads import PeerLoad
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint, EndpointState
@@ -56,7 +56,7 @@
 
 
 def test_load_of_other_entries_is_counted(roster: Roster) -> None:
-    roster.update_peer_load("entry-2", ToldLoad(1, {"a": 4}))
+    roster.update_peer_load("entry-2", PeerLoad(1, {"a": 4}))
     assert [choose(roster) for _ in range(4)] == ["b"] * 4
 
 
@@ -179,7 +179,7 @@
     choose(roster)
     roster.record_finished("a", 1_200, failed=False)
     roster.record_finished("b", 1_200, failed=False)
-    roster.update_peer_load("entry-2", ToldLoad(1, {"a": each, "b": each}))
+    roster.update_peer_load("entry-2", PeerLoad(1, {"a": each, "b": each}))
     chosen = roster.choose(BackendQuery("ink", max_wait=max_wait))
     assert isinstance(chosen, Chosen) is sent
     if isinstance(chosen, NoneAvailable):
@@ -194,7 +194,7 @@
         choose(roster)
         for name in ("a", "b"):
             roster.record_cancelled(name)
-    roster.update_peer_load("entry-2", ToldLoad(1, {"a": 7, "b": 7}))
+    roster.update_peer_load("entry-2", PeerLoad(1, {"a": 7, "b": 7}))
     assert isinstance(roster.choose(BackendQuery("ink", max_wait=200)), NoneAvailable)
 
 
