--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -15,7 +15,7 @@
 from canvasyoke.coordination import RANKERS, Ejection, Ranker
 from canvasyoke.direct._backend_health import BackendHealth
 from canvasyoke.direct._backend_limits import BackendLimits
-from canvasyoke.direct._backend_words import BackendNotices
+from canvasyoke.direct._backend_notices import BackendNotices
 from canvasyoke.direct._domains import DomainReach
 from canvasyoke.direct._groups import RankGroups
 from canvasyoke.direct._home_share import deal_home_share
--- a/src/canvasyoke/direct/_backend_standing.py
+++ b/src/canvasyoke/direct/_backend_standing.py
@@ -7,8 +7,8 @@
 
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_limits import Share
+from canvasyoke.direct._backend_notices import NoticeChange, SharedNotice
 from canvasyoke.direct._backend_streams import BackendStreams
-from canvasyoke.direct._backend_words import NoticeChange, SharedNotice
 from canvasyoke.direct._member import Member
 from canvasyoke.direct._pass_over import unavailability
 from canvasyoke.state import Endpoint, EndpointState
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -35,11 +35,11 @@
     Tried,
 )
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
+from canvasyoke.direct._notice_handler import NoticeHandler
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._refusals import LEAST_TIME, Refusals
 from canvasyoke.direct._retries import Retries
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint
 from canvasyoke.transport import ExchangeSlot
--- a/src/canvasyoke/direct/_word_exchange.py
+++ b/src/canvasyoke/direct/_notice_exchange.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from canvasyoke.direct._backend_limits import RateLimit
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import BackendWord, BackendWords, LimitWord, Message
--- a/src/canvasyoke/direct/_word_keeper.py
+++ b/src/canvasyoke/direct/_notice_handler.py
@@ -8,7 +8,7 @@
 
 from canvasyoke._clock import SECOND
 from canvasyoke.backend import BackendNotice, UnreadableField
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._metrics import DirectMetrics
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
--- a/src/canvasyoke/direct/_pass_over.py
+++ b/src/canvasyoke/direct/_pass_over.py
@@ -16,7 +16,7 @@
 from canvasyoke._registry import Registry
 from canvasyoke.coordination import Unavailability
 from canvasyoke.direct._backend_health import BackendHealth
-from canvasyoke.direct._backend_words import BackendNotices
+from canvasyoke.direct._backend_notices import BackendNotices
 from canvasyoke.direct._domains import DomainReach
 from canvasyoke.direct._groups import RankGroups
 from canvasyoke.direct._member import Member
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -16,12 +16,13 @@
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.direct._backend_exchange import BackendExchange
 from canvasyoke.direct._backend_news import to_crash_news
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._crash_cases import CrashCase
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._entry_notes import EntryNotes
 from canvasyoke.direct._known_backends import BackendChange
+from canvasyoke.direct._notice_exchange import NoticeExchange
 from canvasyoke.direct._peer_loads import ToldLoad
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._quarantine_notes import QuarantineNotes
@@ -29,7 +30,6 @@
 from canvasyoke.direct._table_exchange import TableExchange
 from canvasyoke.direct._table_follower import TableView
 from canvasyoke.direct._telling import AT_LEAST, TELL_EVERY, Telling
-from canvasyoke.direct._word_exchange import NoticeExchange
 from canvasyoke.membership import OverlayLinks, Place, StoreContact, WatchRota
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -20,12 +20,12 @@
 from canvasyoke.direct._forwarder import Forwarder
 from canvasyoke.direct._group_learner import GroupLearner
 from canvasyoke.direct._metrics import DirectMetrics
+from canvasyoke.direct._notice_handler import NoticeHandler
 from canvasyoke.direct._pace_watch import PaceWatch
 from canvasyoke.direct._peers import EntryPeers
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct._table_follower import TableFollower, TableView
-from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.observe import LineWriter, part_logger
 from canvasyoke.state import (
     FLEET_STORES,
--- a/src/canvasyoke/direct/tests/need_model.py
+++ b/src/canvasyoke/direct/tests/backoff_simulation.py
@@ -15,7 +15,7 @@
 
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice, NotRun, NotRunCause
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import DirectCall, GaveUp, Tried
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -12,9 +12,9 @@
 from canvasyoke.direct._call import DirectCall
 from canvasyoke.direct._forwarder import Forwarder
 from canvasyoke.direct._metrics import DirectMetrics
+from canvasyoke.direct._notice_handler import NoticeHandler
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.state import Endpoint, Repeatability, ServiceShare, TableRoute
 from canvasyoke.transport import ExchangeSlot, Reach
 
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -10,12 +10,12 @@
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct._backend_limits import BackendLimits, RateLimit, Share
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._demand_shares import DemandShares
 from canvasyoke.direct._refusals import ReturnLine
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct.tests.need_model import BackoffSimulation, Overload, Scenario
+from canvasyoke.direct.tests.backoff_simulation import BackoffSimulation, Overload, Scenario
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint, EndpointState
 from fakes.engine_ledger import EngineWord, Exchanged, worst_limit
--- a/src/canvasyoke/direct/tests/test_backend_words.py
+++ b/src/canvasyoke/direct/tests/test_backend_notices.py
@@ -10,7 +10,7 @@
 
 from canvasyoke._clock import SECOND, ManualClock
 from canvasyoke.backend import BackendNotice
-from canvasyoke.direct._backend_words import MAX_BACKOFF, SharedNotice
+from canvasyoke.direct._backend_notices import MAX_BACKOFF, SharedNotice
 from canvasyoke.direct._choice import Chosen, NoneAble, Wanted
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -21,12 +21,12 @@
     UnreadableField,
 )
 from canvasyoke.direct._backend_limits import RateLimit
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import DirectCall, GaveUp
 from canvasyoke.direct._metrics import DirectMetrics
+from canvasyoke.direct._notice_handler import NoticeHandler
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.direct.tests.calls import ROUTE, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState, TableRoute
 from canvasyoke.transport import ExchangeError, ExchangeSlot
--- a/src/canvasyoke/direct/tests/test_needs.py
+++ b/src/canvasyoke/direct/tests/test_backoff_simulation.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from canvasyoke.direct.tests.need_model import (
+from canvasyoke.direct.tests.backoff_simulation import (
     BackoffSimulation,
     Overload,
     Scenario,
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -15,7 +15,7 @@
 from canvasyoke.backend import BackendNotice
 from canvasyoke.direct import _peers
 from canvasyoke.direct._backend_limits import RateLimit
-from canvasyoke.direct._backend_words import SharedNotice
+from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
 from canvasyoke.protocol import BackendNews
 from canvasyoke.state import EndpointState, Note
