--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -35,11 +35,11 @@
 )
 from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._crash_detector import BackendLiveness, CrashDetector
+from canvasyoke.direct._notice_handler import NoticeHandler
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._refusals import MIN_ATTEMPT_TIME, RefusalPolicy
 from canvasyoke.direct._retries import RetryPolicy
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct._word_keeper import NoticeHandler
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint
 from canvasyoke.transport import ExchangeSlot
