--- a/src/canvasyoke/experts/__init__.py
+++ b/src/canvasyoke/experts/__init__.py
@@ -1,8 +1,8 @@
-"""Processes beside engines that move the experts of their rank groups."""
+"""Rank processes, which run beside engines and manage the expert maps of their rank groups."""
 
 from canvasyoke.experts._rank_port import (
-    FAR_TIMEOUT,
     RANK_PORTS,
+    REMOTE_TIMEOUT,
     Armed,
     MapOrder,
     MapOrderKind,
@@ -14,8 +14,8 @@
 )
 
 __all__ = [
-    "FAR_TIMEOUT",
     "RANK_PORTS",
+    "REMOTE_TIMEOUT",
     "Armed",
     "MapOrder",
     "MapOrderKind",
--- a/src/canvasyoke/experts/_change.py
+++ b/src/canvasyoke/experts/_change.py
@@ -1,21 +1,21 @@
-"""Putting a map in force on all ranks of a group at one step, or on none.
+"""Atomic change of a group's expert map: all ranks switch at the same step, or none does.
 
-No step may begin while two ranks have different maps. Orders may be lost, or be carried
-out seconds after they were given up, and the owner itself may die between any two.
+No step may begin while two ranks have different maps. Orders can be lost or executed seconds after
+their timeout, and the owner can die between any two orders.
 
-The change is safe because ranks are armed only while the group is held before the step
-that they are armed for. The step cannot begin until the hold is released, and it is
-released only when every rank has said that it is armed for that step, or every rank
-has said that it is not armed at all. Orders that come late meet a higher fence, which
-every rank has seen before the release.
+The protocol is: prepare all ranks, hold the group before a step, arm all ranks for that step,
+release the hold. While the hold stands, the step cannot begin. It is released only after every rank
+has reported that it is armed for the step, or every rank has reported that it is not armed. Before
+a release without armed ranks, every rank has seen a fence above that of all earlier orders, so that
+delayed orders are rejected.
 
-A hold does not lapse, so whoever owns the map next looks for one before it does
-anything else, and ends it the same way (``recover``).
+A hold does not expire. Each new owner therefore starts with ``recover``, which completes or rolls
+back an interrupted change.
 
-The owner's machine may stand still with its rank out of reach. So the hold is not put
-on the owner's rank, and that rank is armed last and disarmed first: it can be armed only
-while all others are. Where one of them is not, another process may end the change
-without a word from the owner's rank (``recover_without_owner``).
+The owner's host can fail together with its rank. For this reason the hold is never placed on the
+owner's rank, and that rank is armed last and disarmed first: it can be armed only while all other
+ranks are. If any other rank is not armed, another process can roll the change back without reaching
+the owner's rank (``recover_without_owner``).
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from typing import Final
 
 from canvasyoke._clock import SECOND, Clock
-from canvasyoke.experts._change_types import HOLD_RANK, OWNER_RANK, ChangeResult, ChangeTimes
-from canvasyoke.experts._fences import Fences
-from canvasyoke.experts._group import NewMap, Ordered, RankGroup
+from canvasyoke.experts._change_types import HOLD_RANK, OWNER_RANK, ChangeResult, ChangeTimings
+from canvasyoke.experts._fences import FenceSequence
+from canvasyoke.experts._group import NewMap, OrderResult, RankGroup
 from canvasyoke.experts._rank_port import (
     Armed,
     MapOrder,
@@ -39,51 +39,49 @@
 from canvasyoke.observe import part_logger
 
 _log = part_logger("map")
-#: Milliseconds for an order, its answer and the report after it, each with its own limit
-#: at the engine; the farthest rank mostly answers all of it within ten. Each rank more
-#: takes the owner's process up to 3 ms: at 200 ms for all, orders to 96 ranks were given
-#: again while their answers were on the way.
+#: Milliseconds for an order, its answer and the following report, plus an allowance per rank for
+#: the owner's processing. If it is too short, orders to large groups are repeated while their
+#: answers are on the way.
 _ORDER_TIMEOUT: Final = 200
-_ORDER_TIME_A_RANK: Final = 3
-#: Milliseconds beyond the time computed for copies after which a change is dropped.
+_ORDER_TIMEOUT_PER_RANK: Final = 3
+#: Milliseconds allowed for copying beyond the computed copy time.
 _COPY_SLACK: Final = 1_500
-#: Milliseconds between questions whether all ranks have copied.
-_ASK_EVERY: Final = 25
-#: Steps ahead of the last one begun that are tried, nearest first. A step takes 50 ms
-#: or more, and arming takes a round trip: the nearest step mostly begins on time.
+#: Milliseconds between checks whether all ranks have finished copying.
+_POLL_INTERVAL: Final = 25
+#: Distances from the current step at which a hold is attempted, in order. A near step usually has
+#: not begun by the time the hold arrives.
 _STEPS_AHEAD: Final = (1, 1, 2, 3, 5)
-#: The same while orders go unanswered: arming then takes several timeouts, and a step
-#: farther ahead leaves time for them before the group has to stand still.
-_STEPS_AHEAD_CAREFUL: Final = (5, 5, 6, 7, 8)
-#: Times that arming is tried while the group is held: with a third of the orders
-#: unanswered, all of eight ranks have answered after five in 24 of 25 changes.
-_ARM_TRIES: Final = 5
-#: Milliseconds between tries of what must succeed before the group may go on.
-_INSIST_EVERY: Final = 50
-#: Ranks that a line of the log names at the most.
-_LOGGED_RANKS: Final = 8
-#: Version in an order to disarm that only raises the fence: no map has it.
-_ANY_VERSION: Final = 1
-#: Orders that have been carried out, or that a rank in another epoch has no need of.
-_SETTLED: Final = frozenset({OrderOutcome.DONE, OrderOutcome.CONFLICT})
+#: Distances used after an order has timed out: arming then takes several timeouts, and a more
+#: distant step shortens the time for which the group is stopped.
+_STEPS_AHEAD_AFTER_TIMEOUT: Final = (5, 5, 6, 7, 8)
+#: Attempts to arm the ranks while the group is held.
+_MAX_ARM_ATTEMPTS: Final = 5
+#: Milliseconds between retries of operations that must succeed before the group can continue.
+_RETRY_INTERVAL: Final = 50
+#: Maximum number of ranks listed in a log record.
+_MAX_LOGGED_RANKS: Final = 8
+#: Version for disarm orders that only raise the fence. No map has this version.
+_UNUSED_VERSION: Final = 1
+#: Outcomes after which a rank has seen the order's fence and needs no further attempt.
+_ACKNOWLEDGED: Final = frozenset({OrderOutcome.DONE, OrderOutcome.CONFLICT})
 
 
-class _Replaced(Exception):
-    """A rank has seen the fence of another owner."""
+class _OwnerReplaced(Exception):
+    """Raised when a rank has seen the fence of another owner."""
 
 
-class _Reformed(Exception):
-    """The group is in another epoch."""
+class _GroupReformed(Exception):
+    """Raised when the group has entered another epoch."""
 
 
 class MapChanger:
-    """Changes one group's map, one change after the other."""
+    """Executes map changes of one group, one at a time."""
 
     def __init__(
         self,
         group: RankGroup,
         epoch: int,
-        fences: Fences,
+        fences: FenceSequence,
         clock: Clock,
         pause: Callable[[float], object] | None = None,
     ) -> None:
@@ -92,89 +90,91 @@
         self._fences = fences
         self._clock = clock
         self._pause = pause or threading.Event().wait
-        #: What the parts of the last change took.
-        self.times = ChangeTimes()
-        #: Whether a rank left an order of the change under way unanswered.
-        self._is_careful = False
+        #: Timings of the last change.
+        self.timings = ChangeTimings()
+        #: Whether an order of the current change has timed out.
+        self._had_timeout = False
         self._timing = StepTiming(group.size)
-        self._order_timeout = _ORDER_TIMEOUT + _ORDER_TIME_A_RANK * group.size
+        self._order_timeout = _ORDER_TIMEOUT + _ORDER_TIMEOUT_PER_RANK * group.size
 
-    def change(self, new: NewMap) -> ChangeResult:
-        """Put ``new`` in force; returns when all is settled either way."""
-        return _end_of(lambda: self._change(new))
+    def change(self, new_map: NewMap) -> ChangeResult:
+        """Activate ``new_map`` on all ranks or on none; return the result."""
+        return _run_to_result(lambda: self._change(new_map))
 
     def recover(self) -> ChangeResult:
-        """End what an earlier owner has left behind: holds and armed ranks."""
-        return _end_of(self._recover)
-
-    def _change(self, new: NewMap) -> ChangeResult:
-        self.times = ChangeTimes()
-        began = self._clock.now()
-        self._timing.saw_step(self._own().step, began)
-        is_prepared = self._prepare(new)
-        self.times.prepare = self._clock.now() - began
+        """Complete or roll back a change that an earlier owner left unfinished."""
+        return _run_to_result(self._recover)
+
+    def _change(self, new_map: NewMap) -> ChangeResult:
+        self.timings = ChangeTimings()
+        started_at = self._clock.now()
+        self._timing.record_step(self._own_report().step, started_at)
+        is_prepared = self._prepare(new_map)
+        self.timings.prepare_time = self._clock.now() - started_at
         if not is_prepared:
             return ChangeResult.NOT_PREPARED
         step = self._hold()
         if not step:
             return ChangeResult.NOT_HELD
-        began = self._clock.now()
-        armed = self._arm(new.version, step)
-        self.times.arm = self._clock.now() - began
-        self._timing.armed(self.times.arm)
-        self._timing.paused()
+        started_at = self._clock.now()
+        armed = self._arm(new_map.version, step)
+        self.timings.arm_time = self._clock.now() - started_at
+        self._timing.record_arming(self.timings.arm_time)
+        self._timing.forget_last_step()
         if not armed:
-            self._disarm_all(dict.fromkeys(range(self._group.size), new.version))
+            self._disarm_all(dict.fromkeys(range(self._group.size), new_map.version))
         self._release({HOLD_RANK: step})
         return ChangeResult.IN_FORCE if armed else ChangeResult.ABANDONED
 
     def recover_without_owner(self) -> ChangeResult:
-        """End what a silent owner has left behind while its rank is out of reach too."""
-        return _end_of(self._recover_without_owner)
+        """Roll back a change of an unresponsive owner whose rank cannot be reached either."""
+        return _run_to_result(self._recover_without_owner)
 
     def _recover_without_owner(self) -> ChangeResult:
-        if not self._raise_fences(self._others):
+        if not self._raise_fences(self._non_owner_ranks):
             return ChangeResult.NOT_HELD
-        reports = self._group.ask(self._order_timeout)
+        reports = self._group.fetch_reports(self._order_timeout)
         self._check_epoch(reports.values())
-        if not self._others <= reports.keys():
+        if not self._non_owner_ranks <= reports.keys():
             return ChangeResult.NOT_HELD
         armed = {r: rep.armed for r, rep in reports.items() if rep.armed is not None}
-        if self._others <= armed.keys():
+        if self._non_owner_ranks <= armed.keys():
             return ChangeResult.NOT_HELD  # the owner's rank may be armed as well
         held = {r: rep.held_step for r, rep in reports.items() if rep.held_step}
-        first = min((each.step for each in armed.values()), default=0)
-        if armed and not self._is_held_before(first, held):
+        first_step = min((each.step for each in armed.values()), default=0)
+        if armed and not self._ensure_held_by(first_step, held):
             return ChangeResult.NOT_HELD
-        self._disarm(self._others, {r: each.version for r, each in armed.items()})
+        self._disarm(self._non_owner_ranks, {r: each.version for r, each in armed.items()})
         self._release(held)
         return ChangeResult.ABANDONED
 
     @property
-    def _others(self) -> set[int]:
-        """Return all ranks but the owner's."""
+    def _non_owner_ranks(self) -> set[int]:
+        """Return all ranks except the owner's."""
         return set(range(self._group.size)) - {OWNER_RANK}
 
     def _raise_fences(self, ranks: Set[int]) -> bool:
-        """See that orders of owners before this one find every rank closed, and wait
-        until the ranks' reports tell what orders before that did."""
+        """Make the ranks reject orders of earlier owners, and wait out the report lag.
+
+        Returns false if not every rank has acknowledged the new fence.
+        """
         order = MapOrder(
-            MapOrderKind.DISARM, self._fences.next(), self._epoch, version=_ANY_VERSION
+            MapOrderKind.DISARM, self._fences.next(), self._epoch, version=_UNUSED_VERSION
         )
-        given = self._group.give(dict.fromkeys(ranks, order), self._order_timeout)
-        self._check(given)
-        if any(ordered.outcome not in _SETTLED for ordered in given.values()):
+        results = self._group.send_orders(dict.fromkeys(ranks, order), self._order_timeout)
+        self._check_results(results)
+        if any(result.outcome not in _ACKNOWLEDGED for result in results.values()):
             return False
         self._pause(self._group.report_lag / SECOND)
         return True
 
     def _recover(self) -> ChangeResult:
-        """End holds, and first the change that one of them was for.
+        """Release holds, after completing or rolling back the change that they belong to.
 
-        Ranks that are armed alike stay so: they are safe without a hold. Otherwise every
-        rank is disarmed, also where none is armed: an order to arm may still be on its
-        way, and must meet a higher fence before the hold is released. Meanwhile the group
-        must not reach the step that some are armed for.
+        If all ranks are armed for the same map and step, they stay armed, which is safe without a
+        hold. Otherwise all ranks are disarmed, including those that report not being armed: an
+        order to arm may still be in flight and must meet a higher fence before the hold is
+        released. During this the group must not reach the step for which some ranks are armed.
         """
         if self._group.report_lag and not self._raise_fences(set(range(self._group.size))):
             return ChangeResult.NOT_HELD
@@ -183,140 +183,145 @@
         armed = [report.armed for report in reports.values() if report.armed is not None]
         is_complete = len(armed) == self._group.size and len(set(armed)) == 1
         if (armed or held) and not is_complete:
-            if armed and not self._is_held_before(min(each.step for each in armed), held):
+            if armed and not self._ensure_held_by(min(each.step for each in armed), held):
                 return ChangeResult.NOT_HELD
-            _log.info("ending a change left behind", armed=len(armed), held=held)
+            _log.info("recovering from an interrupted change", armed=len(armed), held=held)
             self._disarm_all(
                 {r: rep.armed.version for r, rep in reports.items() if rep.armed is not None}
             )
         self._release(held)
         return ChangeResult.IN_FORCE if is_complete or not armed else ChangeResult.ABANDONED
 
-    def _is_held_before(self, first: int, held: dict[int, int]) -> bool:
-        """See that the group is held at step ``first`` or before it; notes a new hold."""
-        if any(step <= first for step in held.values()):
+    def _ensure_held_by(self, first_step: int, held: dict[int, int]) -> bool:
+        """Ensure that the group is held at or before ``first_step``; add a new hold to ``held``."""
+        if any(step <= first_step for step in held.values()):
             return True
-        self._is_careful = False
+        self._had_timeout = False
         step = self._hold()
         if step:
             held[HOLD_RANK] = step
-        return 0 < step <= first
+        return 0 < step <= first_step
 
     def _all_reports(self) -> Mapping[int, RankReport]:
         while True:
-            reports = self._group.ask(self._order_timeout)
+            reports = self._group.fetch_reports(self._order_timeout)
             self._check_epoch(reports.values())
             if len(reports) == self._group.size:
                 return reports
-            self._check_own()
-            self._pause(_INSIST_EVERY / SECOND)
+            self._check_own_epoch()
+            self._pause(_RETRY_INTERVAL / SECOND)
 
-    def _prepare(self, new: NewMap) -> bool:
-        """Have all ranks copy their experts; true once all have."""
+    def _prepare(self, new_map: NewMap) -> bool:
+        """Have all ranks copy their experts; return whether all have."""
         fence = self._fences.next()
         order = MapOrder(
             MapOrderKind.PREPARE,
             fence,
             self._epoch,
-            version=new.version,
-            layers_by_rank=new.layers_by_rank,
+            version=new_map.version,
+            layers_by_rank=new_map.layers_by_rank,
         )
-        began = self._clock.now()
-        limit = began + new.copy_time + _COPY_SLACK
-        self._is_careful = False
+        started_at = self._clock.now()
+        deadline = started_at + new_map.copy_time + _COPY_SLACK
+        self._had_timeout = False
         missing = set(range(self._group.size))
         while missing:
-            given = self._group.give(dict.fromkeys(missing, order), self._order_timeout)
-            self._check(given)
-            outcomes = {ordered.outcome for ordered in given.values()}
-            self._is_careful = self._is_careful or OrderOutcome.UNKNOWN in outcomes
-            missing = {r for r, o in given.items() if not _has_taken(o, new.version)}
-            is_refused = any(
-                given[r].outcome in (OrderOutcome.CONFLICT, OrderOutcome.REJECTED) for r in missing
+            results = self._group.send_orders(dict.fromkeys(missing, order), self._order_timeout)
+            self._check_results(results)
+            outcomes = {result.outcome for result in results.values()}
+            self._had_timeout = self._had_timeout or OrderOutcome.UNKNOWN in outcomes
+            missing = {r for r, o in results.items() if not _has_accepted(o, new_map.version)}
+            is_rejected = any(
+                results[r].outcome in (OrderOutcome.CONFLICT, OrderOutcome.REJECTED)
+                for r in missing
             )
-            if is_refused or (missing and self._clock.now() > limit):
+            if is_rejected or (missing and self._clock.now() > deadline):
                 _log.warning(
                     "map not taken",
-                    version=new.version,
+                    version=new_map.version,
                     missing=len(missing),
-                    ranks={r: given[r].outcome.value for r in sorted(missing)[:_LOGGED_RANKS]},
+                    ranks={
+                        r: results[r].outcome.value for r in sorted(missing)[:_MAX_LOGGED_RANKS]
+                    },
                 )
                 return False
-        self.times.taken = self._clock.now() - began
-        return self._await_copies(new, limit)
+        self.timings.accept_time = self._clock.now() - started_at
+        return self._wait_for_copies(new_map, deadline)
 
-    def _await_copies(self, new: NewMap, limit: int) -> bool:
-        self._pause(new.copy_time / SECOND)
+    def _wait_for_copies(self, new_map: NewMap, deadline: int) -> bool:
+        self._pause(new_map.copy_time / SECOND)
         missing = set(range(self._group.size))
         reports: Mapping[int, RankReport] = {}
-        while self._clock.now() < limit:
-            self.times.asked += 1
-            reports = self._group.ask(self._order_timeout)
+        while self._clock.now() < deadline:
+            self.timings.polls += 1
+            reports = self._group.fetch_reports(self._order_timeout)
             self._check_epoch(reports.values())
             missing = set(range(self._group.size)) - {
-                r for r, report in reports.items() if report.prepared == new.version
+                r for r, report in reports.items() if report.prepared == new_map.version
             }
             if not missing:
                 return True
-            self._pause(_ASK_EVERY / SECOND)
+            self._pause(_POLL_INTERVAL / SECOND)
         _log.warning(
-            "map not copied in time",
-            version=new.version,
+            "expert copies not finished in time",
+            version=new_map.version,
             missing=len(missing),
             unheard=len(missing - reports.keys()),
-            ranks=sorted(missing)[:_LOGGED_RANKS],
+            ranks=sorted(missing)[:_MAX_LOGGED_RANKS],
         )
         return False
 
     def _hold(self) -> int:
-        """Keep the group from beginning a step soon to come; return it, or 0."""
+        """Hold the group before an upcoming step; return that step, or 0 on failure."""
         fence = self._fences.next()
-        for ahead in _STEPS_AHEAD_CAREFUL if self._is_careful else _STEPS_AHEAD:
-            own = self._own()
-            self._timing.saw_step(own.step, self._clock.now())
-            step = own.step + ahead + self._timing.more
+        for ahead in _STEPS_AHEAD_AFTER_TIMEOUT if self._had_timeout else _STEPS_AHEAD:
+            own = self._own_report()
+            self._timing.record_step(own.step, self._clock.now())
+            step = own.step + ahead + self._timing.extra_steps
             order = MapOrder(MapOrderKind.HOLD, fence, self._epoch, step=step)
-            given = self._group.give_directly({HOLD_RANK: order}, self._order_timeout)
-            self._check(given)
-            if given[HOLD_RANK].outcome is OrderOutcome.DONE:
+            results = self._group.send_orders_directly({HOLD_RANK: order}, self._order_timeout)
+            self._check_results(results)
+            if results[HOLD_RANK].outcome is OrderOutcome.DONE:
                 return step
-            held = self._held_now()
+            held = self._current_hold()
             if held:
                 return held
         return 0
 
-    def _held_now(self) -> int:
-        """Return the step that the group is held at; 0 for none that is known."""
-        report = self._group.ask(self._order_timeout).get(HOLD_RANK)
+    def _current_hold(self) -> int:
+        """Return the step at which the group is known to be held, or 0."""
+        report = self._group.fetch_reports(self._order_timeout).get(HOLD_RANK)
         return report.held_step if report is not None else 0
 
     def _arm(self, version: int, step: int) -> bool:
-        """Arm all ranks for ``step``; true only if every one says that it is."""
+        """Arm all ranks for ``step``; return whether every rank reports that it is armed."""
         fence = self._fences.next()
         order = MapOrder(MapOrderKind.ARM, fence, self._epoch, version=version, step=step)
-        return self._arm_each(self._others, order) and self._arm_each({OWNER_RANK}, order)
+        return self._arm_ranks(self._non_owner_ranks, order) and self._arm_ranks(
+            {OWNER_RANK}, order
+        )
 
-    def _arm_each(self, ranks: Set[int], order: MapOrder) -> bool:
+    def _arm_ranks(self, ranks: Set[int], order: MapOrder) -> bool:
         missing = set(ranks)
-        for _ in range(_ARM_TRIES):
-            self.times.arm_tries += 1
-            given = self._group.give(dict.fromkeys(missing, order), self._order_timeout)
-            self._check(given)
-            wanted = Armed(order.version, order.step)
-            missing = {r for r, o in given.items() if not _is_armed(o, wanted)}
+        for _ in range(_MAX_ARM_ATTEMPTS):
+            self.timings.arm_attempts += 1
+            results = self._group.send_orders(dict.fromkeys(missing, order), self._order_timeout)
+            self._check_results(results)
+            expected = Armed(order.version, order.step)
+            missing = {r for r, o in results.items() if not _is_armed(o, expected)}
             if not missing:
                 return True
-            if any(given[r].outcome is OrderOutcome.CONFLICT for r in missing):
+            if any(results[r].outcome is OrderOutcome.CONFLICT for r in missing):
                 return False
         return False
 
     def _disarm_all(self, armed: Mapping[int, int]) -> None:
-        """Have every rank say that it is not armed, under a fence above all orders before.
+        """Disarm all ranks under a new fence until each reports that it is not armed.
 
-        ``armed`` has the versions that ranks are known to be armed for.
+        ``armed`` maps ranks to the versions that they are known to be armed for.
         """
         self._disarm({OWNER_RANK}, armed)
-        self._disarm(self._others, armed)
+        self._disarm(self._non_owner_ranks, armed)
 
     def _disarm(self, ranks: Set[int], armed: Mapping[int, int]) -> None:
         versions = dict(armed)
@@ -328,22 +333,22 @@
                     MapOrderKind.DISARM,
                     fence,
                     self._epoch,
-                    version=versions.get(r, _ANY_VERSION),
+                    version=versions.get(r, _UNUSED_VERSION),
                 )
                 for r in missing
             }
-            given = self._group.give(orders, self._order_timeout)
-            self._check(given)
-            for rank, ordered in given.items():
-                if ordered.report is not None and ordered.report.armed is not None:
-                    versions[rank] = ordered.report.armed.version
-            missing = {r for r, o in given.items() if not _is_disarmed(o)}
+            results = self._group.send_orders(orders, self._order_timeout)
+            self._check_results(results)
+            for rank, result in results.items():
+                if result.report is not None and result.report.armed is not None:
+                    versions[rank] = result.report.armed.version
+            missing = {r for r, o in results.items() if not _is_disarmed(o)}
             if missing:
-                self._check_own()
-                self._pause(_INSIST_EVERY / SECOND)
+                self._check_own_epoch()
+                self._pause(_RETRY_INTERVAL / SECOND)
 
     def _release(self, held: Mapping[int, int]) -> None:
-        """Let the group go on; insists until every holder says that it holds nothing."""
+        """Release the holds, retrying until every holding rank reports none."""
         missing = dict(held)
         while missing:
             fence = self._fences.next()
@@ -351,64 +356,64 @@
                 r: MapOrder(MapOrderKind.RELEASE, fence, self._epoch, step=step)
                 for r, step in missing.items()
             }
-            given = self._group.give(orders, self._order_timeout)
-            self._check(given)
-            for rank, ordered in given.items():
-                if ordered.report is not None and not ordered.report.held_step:
+            results = self._group.send_orders(orders, self._order_timeout)
+            self._check_results(results)
+            for rank, result in results.items():
+                if result.report is not None and not result.report.held_step:
                     del missing[rank]
             if missing:
-                self._check_own()
-                self._pause(_INSIST_EVERY / SECOND)
+                self._check_own_epoch()
+                self._pause(_RETRY_INTERVAL / SECOND)
 
-    def _own(self) -> RankReport:
-        """Return the own rank's report, insisting until there is one."""
+    def _own_report(self) -> RankReport:
+        """Return the own rank's report, retrying until it is available."""
         while True:
             report = self._group.own_report()
             if report is not None:
                 self._check_epoch([report])
                 return report
-            self._pause(_INSIST_EVERY / SECOND)
+            self._pause(_RETRY_INTERVAL / SECOND)
 
-    def _check_own(self) -> None:
+    def _check_own_epoch(self) -> None:
         report = self._group.own_report()
         if report is not None:
             self._check_epoch([report])
 
-    def _check(self, given: Mapping[int, Ordered]) -> None:
-        """Stop when the group or its owner is another than this change began with."""
-        if any(ordered.outcome is OrderOutcome.FENCED for ordered in given.values()):
-            raise _Replaced
-        self._check_epoch([o.report for o in given.values() if o.report is not None])
+    def _check_results(self, results: Mapping[int, OrderResult]) -> None:
+        """Raise if the answers show another owner or another epoch."""
+        if any(result.outcome is OrderOutcome.FENCED for result in results.values()):
+            raise _OwnerReplaced
+        self._check_epoch([o.report for o in results.values() if o.report is not None])
 
     def _check_epoch(self, reports: object) -> None:
         for report in reports:  # type: ignore[attr-defined]
             if report.epoch != self._epoch:
-                raise _Reformed
+                raise _GroupReformed
 
 
-def _end_of(carry_out: Callable[[], ChangeResult]) -> ChangeResult:
-    """Return how a change ended, also where it is no longer this owner's to end."""
+def _run_to_result(operation: Callable[[], ChangeResult]) -> ChangeResult:
+    """Run ``operation`` and translate the loss of the group into a result."""
     try:
-        return carry_out()
-    except _Replaced:
+        return operation()
+    except _OwnerReplaced:
         return ChangeResult.REPLACED
-    except _Reformed:
+    except _GroupReformed:
         return ChangeResult.REFORMED
 
 
-def _has_taken(ordered: Ordered, version: int) -> bool:
-    if ordered.outcome is OrderOutcome.DONE:
+def _has_accepted(result: OrderResult, version: int) -> bool:
+    if result.outcome is OrderOutcome.DONE:
         return True
-    return ordered.report is not None and ordered.report.prepared == version
+    return result.report is not None and result.report.prepared == version
 
 
-def _is_armed(ordered: Ordered, armed: Armed) -> bool:
-    """Tell whether a rank that answered the order also says that it is armed."""
-    return ordered.report is not None and ordered.report.armed == armed
+def _is_armed(result: OrderResult, armed: Armed) -> bool:
+    """Return whether the rank reports that it is armed as expected by the order."""
+    return result.report is not None and result.report.armed == armed
 
 
-def _is_disarmed(ordered: Ordered) -> bool:
-    """Tell whether a rank has seen the fence and says that it is not armed."""
-    if ordered.outcome not in _SETTLED or ordered.report is None:
+def _is_disarmed(result: OrderResult) -> bool:
+    """Return whether the rank has seen the fence and reports that it is not armed."""
+    if result.outcome not in _ACKNOWLEDGED or result.report is None:
         return False
-    return ordered.report.armed is None
+    return result.report.armed is None
--- a/src/canvasyoke/experts/_change_types.py
+++ b/src/canvasyoke/experts/_change_types.py
@@ -1,4 +1,4 @@
-"""What a change of an expert map is told, and what it tells."""
+"""Constants, results and timings of expert map changes."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from dataclasses import dataclass
 from typing import Final
 
-#: The rank beside the owner of a group's map; armed last and disarmed first.
+#: Rank whose process owns the group's map; it is armed last and disarmed first.
 OWNER_RANK: Final = 0
-#: The rank on which holds are put; the process beside it stands by for the owner.
+#: Rank on which holds are placed; its process is the owner's standby.
 HOLD_RANK: Final = 1
 
 
 class ChangeResult(enum.StrEnum):
-    """How a change of the map ended."""
+    """Result of a map change."""
 
     IN_FORCE = "in force"
-    #: A rank did not copy its experts; nothing else was done.
+    #: A rank did not copy its experts; no rank was armed or held.
     NOT_PREPARED = "not prepared"
-    #: No step could be held; nothing else was done.
+    #: No step could be held; no rank was armed.
     NOT_HELD = "not held"
     #: Not every rank could be armed; all were disarmed.
     ABANDONED = "abandoned"
-    #: The group was formed anew, with nothing prepared, armed or held.
+    #: The group entered a new epoch, which drops prepared maps, armed maps and holds.
     REFORMED = "reformed"
-    #: Another owner has given orders.
+    #: Another owner has taken over the group.
     REPLACED = "replaced"
 
 
 @dataclass(slots=True)
-class ChangeTimes:
-    """What parts of a change took, in milliseconds."""
-
-    #: Orders to prepare until all ranks have taken them, and with the copies.
-    taken: int = 0
-    prepare: int = 0
-    #: Times that all ranks were asked whether they have copied.
-    asked: int = 0
-    #: Arming all ranks; the group stands still once it has reached the held step.
-    arm: int = 0
-    #: Times that ranks were told to arm.
-    arm_tries: int = 0
+class ChangeTimings:
+    """Durations in milliseconds and attempt counts of a change."""
+
+    #: From the first prepare order until all ranks accepted it, and until all finished copying.
+    accept_time: int = 0
+    prepare_time: int = 0
+    #: Times that the ranks were polled for finished copies.
+    polls: int = 0
+    #: Time to arm all ranks. The group is stopped once it has reached the held step.
+    arm_time: int = 0
+    #: Attempts to arm the ranks.
+    arm_attempts: int = 0
--- a/src/canvasyoke/experts/_fences.py
+++ b/src/canvasyoke/experts/_fences.py
@@ -1,9 +1,10 @@
-"""Numbers that order the owners of a group's map, taken from the platform's store.
+"""Fencing tokens ("fences") that order the owners of a group's map.
 
-Ranks turn away an order whose fence is below the highest that they have seen. Each time
-that a process takes a group on it writes the group's object anew; the revision of that
-write is above those of all writes before it, so its fences are too. A store that is back
-from an older copy gives revisions out again; its era, which rises, goes before them.
+Ranks reject an order whose fence is below the highest that they have seen. A process that takes
+ownership of a group writes the group's object to the platform's store, and the revision of that
+write determines its fences, so that they are above those of all earlier owners. A store restored
+from an older copy may repeat revisions; its era increases with every restore and therefore takes
+precedence over the revision.
 """
 
 from __future__ import annotations
@@ -16,48 +17,47 @@
 
 from canvasyoke.state import FleetStore, Note, Unavailable, Unusable, era_of, revision_of
 
-#: Kind of the objects that number the owners of a group.
-_OWNERS: Final = "map-owners"
-#: Orders and maps that one owner can number before it would reach the next one's.
+#: Kind of the store objects written when a process takes ownership of a group.
+_OWNERS_KIND: Final = "map-owners"
+#: Size of the range of numbers reserved for one owner's orders and maps.
 _FENCES_PER_OWNER: Final = 100_000
-#: Revisions that one era of the store can number before it would reach the next one's: at
-#: 50 writes a second 31 days. With 671 eras fences stay below 2 to the 53rd, up to which
-#: any reader of JSON takes whole numbers.
+#: Size of the range of revisions reserved for one era: 31 days at 50 writes a second. With up to
+#: 671 eras fences stay below 2**53, the limit for exact integers in JSON readers.
 _REVISIONS_PER_ERA: Final = 1 << 27
 _NONCE_BYTES: Final = 8
 
 
 @dataclass(slots=True)
-class Fences:
-    """Numbers that only rise, also from one owner to the next."""
+class FenceSequence:
+    """Strictly increasing numbers, above those of all earlier owners."""
 
-    #: Above every number of earlier owners.
+    #: Greater than all numbers of earlier owners.
     base: int
-    _used: int = 0
+    _allocated: int = 0
 
     def next(self) -> int:
-        """Return a number above all before it."""
-        self._used += 1
-        return self.base + self._used
+        """Return a number greater than all earlier ones."""
+        self._allocated += 1
+        return self.base + self._allocated
 
 
 class _OwnerNote(msgspec.Struct, frozen=True):
-    """Who took a group on last."""
+    """Stored record of the process that last took ownership of a group."""
 
     incarnation: str
     epoch: int
-    #: Makes each taking a change: a write that changes nothing has no new revision, and
-    #: a process that takes the same group on twice would reuse its own numbers.
+    #: Makes every write a change, as a write of equal content keeps the old revision and a process
+    #: that takes ownership twice would reuse its numbers.
     nonce: str
 
 
-def take_fences(
+def allocate_fences(
     store: FleetStore, group: str, incarnation: str, epoch: int
-) -> Fences | Unavailable | Unusable:
-    """Return fences above those of every owner before."""
+) -> FenceSequence | Unavailable | Unusable:
+    """Return fences above those of all earlier owners of the group."""
     note = _OwnerNote(incarnation, epoch, secrets.token_hex(_NONCE_BYTES))
-    written = store.put_note(_OWNERS, group, msgspec.json.encode(note))
+    written = store.put_note(_OWNERS_KIND, group, msgspec.json.encode(note))
     if not isinstance(written, Note):
         return written
-    owners = era_of(written.position) * _REVISIONS_PER_ERA + revision_of(written.position)
-    return Fences(owners * _FENCES_PER_OWNER)
+    owner_number = era_of(written.position) * _REVISIONS_PER_ERA + revision_of(written.position)
+    return FenceSequence(owner_number * _FENCES_PER_OWNER)
--- a/src/canvasyoke/experts/_group.py
+++ b/src/canvasyoke/experts/_group.py
@@ -1,4 +1,4 @@
-"""A rank group as the owner of its map sees it: readings in, orders out."""
+"""Interface through which the owner of an expert map reads and controls its rank group."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
-    """What became of an order, and what the rank said after it."""
+class OrderResult:
+    """Outcome of an order and the rank's report after it."""
 
     outcome: OrderOutcome
-    #: ``None`` when the rank could not be asked.
+    #: ``None`` if the rank could not be reached.
     report: RankReport | None = None
 
 
@@ -28,35 +28,39 @@
 
     @property
     def report_lag(self) -> int:
-        """Return the milliseconds by which reports may lag behind what orders did."""
+        """Return the milliseconds by which reports may lag behind executed orders."""
         return 0
 
     @abstractmethod
-    def give(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
-        """Give orders to several ranks side by side; answers for all of them.
+    def send_orders(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
+        """Send orders to several ranks concurrently; return a result for each of them.
 
         A rank that does not answer in time has the outcome ``UNKNOWN``.
         """
 
-    def give_directly(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
-        """As ``give``, at the ranks' engines and not through the processes beside them.
+    def send_orders_directly(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
+        """Like ``send_orders``, but call the engines directly instead of the rank processes.
 
-        The reports that come with it may be old: only the outcomes tell.
+        The reports in the results may be outdated; only the outcomes are reliable.
         """
-        return self.give(orders, timeout)
+        return self.send_orders(orders, timeout)
 
     @abstractmethod
-    def ask(self, timeout: int) -> Mapping[int, RankReport]:
-        """Return fresh reports of those ranks that answer in time."""
+    def fetch_reports(self, timeout: int) -> Mapping[int, RankReport]:
+        """Return current reports of the ranks that answer in time."""
 
     @abstractmethod
     def own_report(self) -> RankReport | None:
-        """Return a fresh report of the owner's own rank."""
+        """Return a current report of the owner's own rank."""
 
 
 @dataclass(frozen=True, slots=True)
 class NewMap:
-    """A map to be put in force."""
+    """An expert map to be activated."""
 
     version: int
     layers_by_rank: tuple[RankLayers, ...]
--- a/src/canvasyoke/experts/_linked_group.py
+++ b/src/canvasyoke/experts/_linked_group.py
@@ -1,4 +1,4 @@
-"""The ranks of a group over links to the processes beside them."""
+"""A rank group reached over links to its rank processes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import msgspec
 
 from canvasyoke._clock import SECOND, Clock
-from canvasyoke.experts._group import Ordered, RankGroup
+from canvasyoke.experts._group import OrderResult, RankGroup
 from canvasyoke.experts._member import (
     READ,
     READ_LAYERS,
-    RankMember,
+    RankClient,
+    encode_order,
     from_reading,
-    to_message,
 )
 from canvasyoke.experts._packing import PackingError, pack_layers, unpack_counts
 from canvasyoke.experts._rank_port import MapOrder, OrderOutcome, RankLayers, RankMap, RankReport
@@ -35,52 +35,52 @@
 from canvasyoke.transport import Session
 
 _log = part_logger("map")
-#: Milliseconds for a rank to say whether it still holds its group.
-_HELD_TIMEOUT: Final = 200
+#: Milliseconds to wait for a rank to confirm that it still holds the group.
+_HOLD_QUERY_TIMEOUT: Final = 200
 
-#: Times that a rank takes for the same work from which on it counts as slow. Demand is
-#: known to a tenth.
-_SLOW: Final = 1.2
+#: Relative processing time from which a rank counts as slow. Smaller slowdowns are within the error
+#: of the demand estimate.
+_SLOWDOWN_THRESHOLD: Final = 1.2
 
 
 @dataclass(slots=True)
 class _Link:
     session: Session
-    heard_at: int
+    received_at: int
     reading: RankReading
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """Answers that one call still waits for."""
+class _PendingCall:
+    """Answers that a call is waiting for."""
 
     missing: set[int] = field(default_factory=set)
     answers: dict[int, RankOrdered] = field(default_factory=dict)
 
 
 class LinkedGroup(RankGroup):
-    """One group in one epoch; fed by the link server's task, used by the owner's."""
+    """One group in one epoch; fed by the link server's thread, used by the owner's."""
 
     def __init__(
         self,
-        own: RankMember,
+        own_client: RankClient,
         report: RankReport,
         clock: Clock,
-        far: Callable[[int], RankMember | None],
+        remote_client: Callable[[int], RankClient | None],
     ) -> None:
         self.name = report.group
         self.epoch = report.epoch
         self.own_rank = report.rank
         self._size = report.size
-        self._own = own
-        #: Makes a member that speaks to another rank's engine from here. The platform
-        #: prices that, so it serves only ranks whose own process is not linked.
-        self._far = far
+        self._own_client = own_client
+        #: Returns a client for another rank's engine. The platform charges for such calls, so it is
+        #: used only for ranks whose process is not linked.
+        self._remote_client = remote_client
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._changed = threading.Condition()
+        self._order_ids = itertools.count(1)
+        self._condition = threading.Condition()
         self._links: dict[int, _Link] = {}
-        self._calls: dict[int, tuple[_Waiting, int]] = {}
+        self._calls: dict[int, tuple[_PendingCall, int]] = {}
         self._counts: list[int] = []
 
     @property
@@ -90,198 +90,202 @@
 
     @property
     def is_linked(self) -> bool:
-        """Tell whether every other rank's process is linked and in this epoch."""
-        with self._changed:
+        """Return whether the processes of all other ranks are linked and in this epoch."""
+        with self._condition:
             links = [li for li in self._links.values() if not li.session.closed]
             in_epoch = [li for li in links if li.reading.epoch == self.epoch]
         return len(in_epoch) == self._size - 1
 
-    def took(self, session: Session, message: Message) -> None:
-        """Take a message from the process beside another rank."""
+    def on_message(self, session: Session, message: Message) -> None:
+        """Handle a message from another rank's process."""
         match message:
             case RankReading():
-                self._took_readings(session, [message], message.counts)
+                self._on_readings(session, [message], message.counts)
             case RelayedReadings():
-                self._took_readings(session, message.readings, message.counts)
+                self._on_readings(session, message.readings, message.counts)
             case RankLost():
-                self._lost(session, message.rank)
+                self._on_rank_lost(session, message.rank)
             case RankOrdered():
-                self._took_answer(message)
+                self._on_answer(message)
 
-    def _took_readings(self, session: Session, readings: list[RankReading], packed: bytes) -> None:
+    def _on_readings(self, session: Session, readings: list[RankReading], packed: bytes) -> None:
         try:
             counts = unpack_counts(packed)
         except PackingError as exc:
-            _log.warning("counts cannot be read", group=self.name, peer=session.peer, cause=exc)
+            _log.warning("undecodable counts", group=self.name, peer=session.peer, cause=exc)
             counts = []
-        with self._changed:
+        with self._condition:
             for reading in readings:
                 self._links[reading.rank] = _Link(session, self._clock.now(), reading)
-            self._add_counts(counts)
+            self._accumulate(counts)
 
-    def _lost(self, session: Session, rank: int) -> None:
-        """Take note that a relay has no link with a rank; it may have another way by now."""
-        with self._changed:
+    def _on_rank_lost(self, session: Session, rank: int) -> None:
+        """Drop the link to a rank that a relay has lost, unless it has been linked otherwise."""
+        with self._condition:
             link = self._links.get(rank)
             if link is not None and link.session is session:
                 del self._links[rank]
 
-    def _took_answer(self, message: RankOrdered) -> None:
-        with self._changed:
+    def _on_answer(self, message: RankOrdered) -> None:
+        with self._condition:
             if message.order in self._calls:
-                waiting, rank = self._calls.pop(message.order)
-                waiting.answers[rank] = message
-                waiting.missing.discard(rank)
-                self._changed.notify_all()
+                pending, rank = self._calls.pop(message.order)
+                pending.answers[rank] = message
+                pending.missing.discard(rank)
+                self._condition.notify_all()
 
-    def took_own_counts(self, counts: list[int]) -> None:
-        """Take the counts of the own rank."""
-        with self._changed:
-            self._add_counts(counts)
+    def add_own_counts(self, counts: list[int]) -> None:
+        """Add the counts of the own rank."""
+        with self._condition:
+            self._accumulate(counts)
 
-    def _add_counts(self, counts: list[int]) -> None:
+    def _accumulate(self, counts: list[int]) -> None:
         self._counts = add_counts(self._counts, counts)
 
     def take_counts(self) -> list[int]:
         """Return the counts of all ranks since the last call."""
-        with self._changed:
+        with self._condition:
             counts, self._counts = self._counts, []
         return counts
 
-    def paces(self) -> dict[int, float]:
-        """Return the ranks that take longer for the same work, and how many times."""
-        with self._changed:
-            paces = {rank: link.reading.pace for rank, link in self._links.items()}
-        own = self._own.report()
-        if own is not None:
-            paces[self.own_rank] = own.pace
-        return {rank: pace for rank, pace in paces.items() if pace >= _SLOW}
-
-    def give(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
-        """Give orders to ranks over their links; the own rank directly."""
-        messages = self._messages(orders)
-        own = orders.get(self.own_rank)
-        answers = self._exchange(messages, timeout, own)
-        return {rank: answers.get(rank, Ordered(OrderOutcome.UNKNOWN)) for rank in orders}
-
-    def _messages(self, orders: Mapping[int, MapOrder]) -> dict[int, RankOrder]:
-        """Return the messages for ``orders``; a map that several share is packed once."""
+    def slowdowns(self) -> dict[int, float]:
+        """Return the slow ranks with their relative processing times."""
+        with self._condition:
+            slowdowns = {rank: link.reading.pace for rank, link in self._links.items()}
+        own_report = self._own_client.report()
+        if own_report is not None:
+            slowdowns[self.own_rank] = own_report.slowdown
+        return {rank: factor for rank, factor in slowdowns.items() if factor >= _SLOWDOWN_THRESHOLD}
+
+    def send_orders(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
+        """Send orders to ranks over their links, and to the own rank directly."""
+        messages = self._encode_orders(orders)
+        own_order = orders.get(self.own_rank)
+        answers = self._send_and_wait(messages, timeout, own_order)
+        return {rank: answers.get(rank, OrderResult(OrderOutcome.UNKNOWN)) for rank in orders}
+
+    def _encode_orders(self, orders: Mapping[int, MapOrder]) -> dict[int, RankOrder]:
+        """Return the messages for ``orders``, packing a shared map only once."""
         packed: dict[int, bytes] = {}
         messages = {}
         for rank, order in orders.items():
             layers = order.layers_by_rank
             if id(layers) not in packed:
                 packed[id(layers)] = pack_layers(layers)
-            messages[rank] = to_message(next(self._numbers), rank, order, packed[id(layers)])
+            messages[rank] = encode_order(next(self._order_ids), rank, order, packed[id(layers)])
         return messages
 
-    def give_directly(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
-        """Give orders at the ranks' engines; the adapter's own limit of time holds."""
-        given = {}
+    def send_orders_directly(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
+        """Send orders to the engines; the adapter's timeout applies instead of ``timeout``."""
+        results = {}
         for rank, order in orders.items():
-            member = self._own if rank == self.own_rank else self._far(rank)
-            if member is not None:
-                given[rank] = member.order(order)
-        return {rank: given.get(rank, Ordered(OrderOutcome.UNKNOWN)) for rank in orders}
-
-    def ask(self, timeout: int) -> Mapping[int, RankReport]:
-        """Return fresh reports."""
-        answers = self._exchange(self._questions(READ), timeout, None)
-        own = self._own.report()
+            client = self._own_client if rank == self.own_rank else self._remote_client(rank)
+            if client is not None:
+                results[rank] = client.order(order)
+        return {rank: results.get(rank, OrderResult(OrderOutcome.UNKNOWN)) for rank in orders}
+
+    def fetch_reports(self, timeout: int) -> Mapping[int, RankReport]:
+        """Return current reports of the ranks that answer in time."""
+        answers = self._send_and_wait(self._report_requests(READ), timeout, None)
+        own_report = self._own_client.report()
         reports = {r: o.report for r, o in answers.items() if o.report is not None}
-        if own is not None:
-            reports[self.own_rank] = own
+        if own_report is not None:
+            reports[self.own_rank] = own_report
         return reports
 
-    def last_held(self, rank: int) -> bool:
-        """Tell whether a rank's last reading, and a fresh report, tell of a hold."""
-        with self._changed:
+    def confirms_hold(self, rank: int) -> bool:
+        """Return whether both the rank's last reading and a current report show a hold."""
+        with self._condition:
             link = self._links.get(rank)
         if link is None or not link.reading.held_step:
             return False
-        report = self.ask(_HELD_TIMEOUT).get(rank)
+        report = self.fetch_reports(_HOLD_QUERY_TIMEOUT).get(rank)
         return report is not None and bool(report.held_step)
 
     def own_report(self) -> RankReport | None:
         """Return the own rank's report."""
-        return self._own.report()
+        return self._own_client.report()
 
     def own_layers(self) -> RankMap | None:
-        """Return the map in force as far as the own rank holds it."""
-        return self._own.layers()
+        """Return the own rank's part of the map in force."""
+        return self._own_client.layers()
 
-    def ask_layers(self, timeout: int) -> Mapping[int, RankLayers]:
-        """Return the experts that each of the other ranks holds."""
-        waiting = self._send(self._questions(READ_LAYERS))
-        self._wait(waiting, timeout)
+    def fetch_layers(self, timeout: int) -> Mapping[int, RankLayers]:
+        """Return the experts held by each of the other ranks that answer in time."""
+        pending = self._send(self._report_requests(READ_LAYERS))
+        self._wait(pending, timeout)
         return {
             rank: tuple(tuple(layer) for layer in answer.reading.layers)
-            for rank, answer in waiting.answers.items()
+            for rank, answer in pending.answers.items()
             if answer.reading is not None and answer.reading.layers
         }
 
-    def _questions(self, kind: str) -> dict[int, RankOrder]:
+    def _report_requests(self, kind: str) -> dict[int, RankOrder]:
         others = (rank for rank in range(self._size) if rank != self.own_rank)
-        return {r: RankOrder(next(self._numbers), kind, 0, self.epoch, rank=r) for r in others}
-
-    def _exchange(
-        self, messages: Mapping[int, RankOrder], timeout: int, own: MapOrder | None
-    ) -> dict[int, Ordered]:
-        waiting = self._send(messages)
-        linked = frozenset(waiting.missing | waiting.answers.keys())
-        answers: dict[int, Ordered] = {}
-        if own is not None:
-            answers[self.own_rank] = self._own.order(own)
-        answers.update(self._reach_far(messages, linked))
-        self._wait(waiting, timeout)
-        for rank, answer in waiting.answers.items():
+        return {r: RankOrder(next(self._order_ids), kind, 0, self.epoch, rank=r) for r in others}
+
+    def _send_and_wait(
+        self, messages: Mapping[int, RankOrder], timeout: int, own_order: MapOrder | None
+    ) -> dict[int, OrderResult]:
+        pending = self._send(messages)
+        linked = frozenset(pending.missing | pending.answers.keys())
+        answers: dict[int, OrderResult] = {}
+        if own_order is not None:
+            answers[self.own_rank] = self._own_client.order(own_order)
+        answers.update(self._execute_unlinked(messages, linked))
+        self._wait(pending, timeout)
+        for rank, answer in pending.answers.items():
             reading = answer.reading
             report = from_reading(reading, self.name, self._size) if reading else None
-            answers[rank] = Ordered(OrderOutcome(answer.outcome), report)
+            answers[rank] = OrderResult(OrderOutcome(answer.outcome), report)
         return answers
 
-    def _reach_far(
+    def _execute_unlinked(
         self, messages: Mapping[int, RankOrder], linked: frozenset[int]
-    ) -> dict[int, Ordered]:
-        """Order the ranks without a link at their engines."""
-        answers: dict[int, Ordered] = {}
+    ) -> dict[int, OrderResult]:
+        """Execute orders for unlinked ranks at their engines."""
+        answers: dict[int, OrderResult] = {}
         for rank in messages.keys() - linked - {self.own_rank}:
-            member = self._far(rank)
-            if member is not None:
-                answers[rank] = member.answer_order(messages[rank])
+            client = self._remote_client(rank)
+            if client is not None:
+                answers[rank] = client.execute(messages[rank])
         return answers
 
-    def _send(self, messages: Mapping[int, RankOrder]) -> _Waiting:
-        waiting = _Waiting()
+    def _send(self, messages: Mapping[int, RankOrder]) -> _PendingCall:
+        pending = _PendingCall()
         by_session: dict[Session, list[RankOrder]] = {}
-        with self._changed:
+        with self._condition:
             for rank, message in messages.items():
                 link = self._links.get(rank)
                 if rank == self.own_rank or link is None or link.session.closed:
                     continue
-                self._calls[message.order] = (waiting, rank)
-                waiting.missing.add(rank)
+                self._calls[message.order] = (pending, rank)
+                pending.missing.add(rank)
                 by_session.setdefault(link.session, []).append(message)
         for session, orders in by_session.items():
-            session.send(_joined(orders))
-        return waiting
+            session.send(_merge_orders(orders))
+        return pending
 
-    def _wait(self, waiting: _Waiting, timeout: int) -> None:
+    def _wait(self, pending: _PendingCall, timeout: int) -> None:
         deadline = self._clock.now() + timeout
-        with self._changed:
-            while waiting.missing:
-                left = deadline - self._clock.now()
-                if left <= 0:
+        with self._condition:
+            while pending.missing:
+                remaining = deadline - self._clock.now()
+                if remaining <= 0:
                     break
-                self._changed.wait(left / SECOND)
-            stale = [n for n, (of, _) in self._calls.items() if of is waiting]
-            for number in stale:
-                del self._calls[number]
+                self._condition.wait(remaining / SECOND)
+            unanswered = [n for n, (call, _) in self._calls.items() if call is pending]
+            for order_id in unanswered:
+                del self._calls[order_id]
 
 
-def _joined(orders: list[RankOrder]) -> RankOrder | RankOrders:
-    """Return one message for all orders over one link, with the map that they share once."""
+def _merge_orders(orders: list[RankOrder]) -> RankOrder | RankOrders:
+    """Combine the orders for one link into one message that contains their shared map once."""
     if len(orders) == 1:
         return orders[0]
-    bare = [msgspec.structs.replace(order, layers_by_rank=b"") for order in orders]
-    return RankOrders(bare, orders[0].layers_by_rank)
+    without_layers = [msgspec.structs.replace(order, layers_by_rank=b"") for order in orders]
+    return RankOrders(without_layers, orders[0].layers_by_rank)
--- a/src/canvasyoke/experts/_looks.py
+++ b/src/canvasyoke/experts/_looks.py
@@ -1,4 +1,4 @@
-"""How often a process asks the store for what it lacks."""
+"""Rate limit for a rank process's lookups in the store."""
 
 from __future__ import annotations
 
@@ -6,30 +6,31 @@
 
 from canvasyoke._clock import SECOND, Clock
 
-#: Milliseconds between looks into the store while what is missing stays missing.
-_EVERY: Final = 1 * SECOND
-#: Looks that may follow each other at once: a process that starts has to introduce
-#: itself, find the others and read the configuration. With one look a second it was
-#: linked 1.0 s later than it could have been, and so was the first map after it.
-_AT_ONCE: Final = 3
+#: Milliseconds after which another lookup is allowed.
+_REFILL_INTERVAL: Final = 1 * SECOND
+#: Lookups allowed in quick succession: a starting process registers, finds the other processes and
+#: reads the configuration.
+_BURST: Final = 3
 
 
-class Looks:
-    """Grants looks: a few at once, then one each second."""
+class LookupLimiter:
+    """Token bucket: permits a short burst of lookups, then one per second."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._left = _AT_ONCE
-        self._since = clock.now()
+        self._tokens = _BURST
+        self._refilled_at = clock.now()
 
-    def take(self) -> bool:
-        """Tell whether the store may be asked again, and note that it is."""
+    def try_acquire(self) -> bool:
+        """Return whether a lookup is permitted, and consume the permit."""
         now = self._clock.now()
-        earned = (now - self._since) // _EVERY
-        if earned or self._left == _AT_ONCE:
-            self._left = min(_AT_ONCE, self._left + earned)
-            self._since = now if self._left == _AT_ONCE else self._since + earned * _EVERY
-        if not self._left:
+        refilled = (now - self._refilled_at) // _REFILL_INTERVAL
+        if refilled or self._tokens == _BURST:
+            self._tokens = min(_BURST, self._tokens + refilled)
+            self._refilled_at = (
+                now if self._tokens == _BURST else self._refilled_at + refilled * _REFILL_INTERVAL
+            )
+        if not self._tokens:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/src/canvasyoke/experts/_member.py
+++ b/src/canvasyoke/experts/_member.py
@@ -1,10 +1,10 @@
-"""One rank as the process beside it works with it: reads it and carries out orders."""
+"""Client of one rank: reads reports and counts, executes orders, and encodes both for links."""
 
 from __future__ import annotations
 
 import threading
 
-from canvasyoke.experts._group import Ordered
+from canvasyoke.experts._group import OrderResult
 from canvasyoke.experts._packing import PackingError, pack_counts, unpack_layers
 from canvasyoke.experts._rank_port import (
     Armed,
@@ -20,69 +20,71 @@
 from canvasyoke.protocol import RankOrder, RankOrdered, RankReading
 
 _log = part_logger("map")
-#: Kind of an order that asks for a report, and for a report with the layers held.
+#: Kinds of orders that request a report, without and with the rank's layers.
 READ = "read"
 READ_LAYERS = "read-layers"
 
 
-class RankMember:
-    """The rank beside this process; thread-safe."""
+class RankClient:
+    """Client of one rank; thread-safe."""
 
     def __init__(self, port: RankPort) -> None:
         self._port = port
         self._lock = threading.Lock()
-        self._counted: tuple[int, ...] = ()
+        self._last_counts: tuple[int, ...] = ()
 
     def report(self) -> RankReport | None:
-        """Return the rank's report, or ``None`` when it does not answer or has no group."""
-        seen = self._port.report()
-        return None if isinstance(seen, RankUnreachable) else seen
+        """Return the rank's report, or ``None`` if it does not answer or has no group."""
+        response = self._port.report()
+        return None if isinstance(response, RankUnreachable) else response
 
     def read_counts(self) -> list[int]:
-        """Return how often each expert was chosen since the last call; empty when unknown."""
-        seen = self._port.counts()
-        if isinstance(seen, RankUnreachable):
+        """Return the choices of each expert since the last call; empty if unknown."""
+        response = self._port.counts()
+        if isinstance(response, RankUnreachable):
             return []
         with self._lock:
-            before, self._counted = self._counted, seen
-        if len(before) != len(seen) or any(a < b for a, b in zip(seen, before, strict=True)):
-            return []  # the first reading, or the rank was restarted
-        return [a - b for a, b in zip(seen, before, strict=True)]
+            previous, self._last_counts = self._last_counts, response
+        if len(previous) != len(response) or any(
+            a < b for a, b in zip(response, previous, strict=True)
+        ):
+            return []  # first reading, or the rank was restarted
+        return [a - b for a, b in zip(response, previous, strict=True)]
 
     def layers(self) -> RankMap | None:
-        """Return the part of the map in force that the rank holds."""
-        seen = self._port.map_in_force()
-        return None if isinstance(seen, RankUnreachable) else seen
+        """Return the rank's part of the map in force."""
+        response = self._port.current_map()
+        return None if isinstance(response, RankUnreachable) else response
 
-    def order(self, order: MapOrder) -> Ordered:
-        """Give the rank an order and read it back."""
-        return Ordered(self._port.order(order), self.report())
+    def order(self, order: MapOrder) -> OrderResult:
+        """Execute an order and read the rank's report after it."""
+        return OrderResult(self._port.order(order), self.report())
 
-    def answer_order(self, message: RankOrder) -> Ordered:
-        """Carry out an order, or the question for a report."""
+    def execute(self, message: RankOrder) -> OrderResult:
+        """Execute an order or a request for a report."""
         if message.kind not in (READ, READ_LAYERS):
-            return self._carry_out(message)
+            return self._execute_order(message)
         report = self.report()
-        return Ordered(OrderOutcome.UNKNOWN if report is None else OrderOutcome.DONE, report)
+        return OrderResult(OrderOutcome.UNKNOWN if report is None else OrderOutcome.DONE, report)
 
-    def _carry_out(self, message: RankOrder) -> Ordered:
+    def _execute_order(self, message: RankOrder) -> OrderResult:
         try:
-            return self.order(_order(message))
+            return self.order(_decode_order(message))
         except PackingError as exc:
-            _log.warning("a map cannot be read", order=message.order, cause=exc)
-            return Ordered(OrderOutcome.REJECTED)
+            _log.warning("undecodable expert map", order=message.order, cause=exc)
+            return OrderResult(OrderOutcome.REJECTED)
 
-    def answer(self, message: RankOrder) -> RankOrdered:
-        """Carry out an order that came over a link."""
-        ordered = self.answer_order(message)
+    def handle_order(self, message: RankOrder) -> RankOrdered:
+        """Execute an order received over a link and return the answer."""
+        result = self.execute(message)
         reading = None
-        if ordered.report is not None:
-            held = self.layers() if message.kind == READ_LAYERS else None
-            reading = to_reading(ordered.report, [], held)
-        return RankOrdered(message.order, ordered.outcome.value, reading)
+        if result.report is not None:
+            rank_map = self.layers() if message.kind == READ_LAYERS else None
+            reading = to_reading(result.report, [], rank_map)
+        return RankOrdered(message.order, result.outcome.value, reading)
 
 
-def _order(message: RankOrder) -> MapOrder:
+def _decode_order(message: RankOrder) -> MapOrder:
     return MapOrder(
         MapOrderKind(message.kind),
         message.fence,
@@ -93,10 +95,10 @@
     )
 
 
-def to_message(number: int, rank: int, order: MapOrder, packed_layers: bytes) -> RankOrder:
-    """Return an order to a rank as it goes over a link, with its map packed."""
+def encode_order(order_id: int, rank: int, order: MapOrder, packed_layers: bytes) -> RankOrder:
+    """Return the message for an order to a rank, with the map already packed."""
     return RankOrder(
-        order=number,
+        order=order_id,
         kind=order.kind.value,
         fence=order.fence,
         epoch=order.epoch,
@@ -107,8 +109,10 @@
     )
 
 
-def to_reading(report: RankReport, counts: list[int], held: RankMap | None = None) -> RankReading:
-    """Return a report as it goes over a link."""
+def to_reading(
+    report: RankReport, counts: list[int], rank_map: RankMap | None = None
+) -> RankReading:
+    """Return the message for a report."""
     return RankReading(
         rank=report.rank,
         epoch=report.epoch,
@@ -120,13 +124,13 @@
         armed_step=report.armed.step if report.armed else 0,
         held_step=report.held_step,
         counts=pack_counts(counts),
-        layers=[list(layer) for layer in held.layers] if held is not None else [],
-        pace=report.pace,
+        layers=[list(layer) for layer in rank_map.layers] if rank_map is not None else [],
+        pace=report.slowdown,
     )
 
 
 def from_reading(reading: RankReading, group: str, size: int) -> RankReport:
-    """Return the report that came over a link."""
+    """Return the report contained in a message."""
     armed = Armed(reading.armed_version, reading.armed_step) if reading.armed_version else None
     return RankReport(
         group=group,
@@ -139,5 +143,5 @@
         prepared=reading.prepared,
         armed=armed,
         held_step=reading.held_step,
-        pace=reading.pace,
+        slowdown=reading.pace,
     )
--- a/src/canvasyoke/experts/_note_keeper.py
+++ b/src/canvasyoke/experts/_note_keeper.py
@@ -1,7 +1,7 @@
-"""Sees that a process's note stands in the store, and with it the key of the links.
+"""Keeps a process's note and the link key in the store.
 
-A store that is back from an older copy may have lost both. Who is linked does not miss them;
-a process that starts then would find nobody, and with a key of its own reach nobody.
+A store restored from an older copy may lack both. Existing links do not need them, but a process
+that starts later would find no other process, or create a link key that the others do not accept.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from canvasyoke.state import FleetStore, Note, Unavailable, Unusable, read_link_key
 
 _log = part_logger("ranks")
-#: Milliseconds between looks, on the mean. A look may be answered from seconds ago and costs
-#: a tenth of a call: with 10,000 processes 333 a second, which the store's rate leaves out.
-_LOOK_EVERY: Final = 30 * SECOND
+#: Mean milliseconds between checks. A check accepts an outdated answer, which the platform's store
+#: serves at a fraction of the cost of a regular call.
+_CHECK_INTERVAL: Final = 30 * SECOND
 
 
 class NoteKeeper:
-    """Keeps one note, on a task of its own: a store that is dark takes two seconds a look."""
+    """Keeps one note, on a separate thread because calls to an unavailable store block."""
 
     def __init__(
         self,
@@ -37,34 +37,34 @@
         self._key_name = key_name
         self._use_key = use_key
         self._rng = rng
-        #: Name and body of the note to be kept; ``None`` before there is one.
-        self._kept: tuple[str, bytes] | None = None
+        #: Name and body of the note; ``None`` until it has been written.
+        self._note: tuple[str, bytes] | None = None
         self._link_key = b""
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="note-keeper", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="note-keeper", daemon=True)
 
     def start(self) -> None:
-        """Start the task."""
-        self._task.start()
+        """Start the thread."""
+        self._thread.start()
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the thread."""
         self._stop.set()
 
     def keep(self, name: str, body: bytes, link_key: bytes) -> None:
-        """Keep this note from now on; it has just been written."""
+        """Keep this note from now on; the caller has just written it."""
         self._link_key = link_key
-        self._kept = (name, body)
+        self._note = (name, body)
 
     def _run(self) -> None:
-        while not self._stop.wait(_LOOK_EVERY * self._rng.uniform(0.5, 1.5) / SECOND):
-            self.look()
+        while not self._stop.wait(_CHECK_INTERVAL * self._rng.uniform(0.5, 1.5) / SECOND):
+            self.check()
 
-    def look(self) -> None:
-        """Write the note again if it is gone, and the key where there is none."""
-        if self._kept is None:
+    def check(self) -> None:
+        """Restore the note, and the link key if it is missing too."""
+        if self._note is None:
             return
-        name, body = self._kept
+        name, body = self._note
         found = self._store.note(self._kind, name, may_be_old=True)
         if isinstance(found, Unavailable | Unusable) or found is not None:
             return
--- a/src/canvasyoke/experts/_owner.py
+++ b/src/canvasyoke/experts/_owner.py
@@ -1,9 +1,8 @@
-"""The owner of a group's expert map: follows what is in demand, a small change at a time.
+"""Owner of a group's expert map: follows demand with small incremental changes.
 
-The process beside rank 0 owns the map of its group. There is one such process, so no
-election is needed, and when its rank is lost the group is lost with it. Its fences
-begin at the revision of an object that it writes in the store when it takes the
-group on; they are above those of every owner before it.
+The process beside rank 0 owns the map of its group. There is exactly one such process, so no
+election is needed; if its rank is lost, so is the group. When it takes ownership it allocates
+fences above those of all earlier owners.
 """
 
 from __future__ import annotations
@@ -26,38 +25,34 @@
 )
 from canvasyoke.experts._change import MapChanger
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
-from canvasyoke.experts._fences import Fences, take_fences
+from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.experts._group import NewMap
 from canvasyoke.experts._linked_group import LinkedGroup
 from canvasyoke.experts._rank_port import RankLayers, RankReport
-from canvasyoke.experts._relay import sharing_ranks
-from canvasyoke.experts._rounds import READ_EVERY, reading_rounds
+from canvasyoke.experts._relay import ranks_sharing_link
+from canvasyoke.experts._rounds import READ_INTERVAL, intervals_per_round
 from canvasyoke.observe import Counter, part_logger
 from canvasyoke.state import FleetStore, RankGeometry, Unavailable, Unusable
 
 _log = part_logger("owner")
-#: Milliseconds for the ranks to say what they hold.
+#: Milliseconds to wait for the ranks' layers.
 _LAYERS_TIMEOUT: Final = 500
-#: How demand is estimated.
-_ESTIMATE: Final = "moves"
-#: Choices, over all layers and experts, under which the counts say too little.
-_ENOUGH_COUNTS: Final = 20_000
-#: Milliseconds for which no change is looked for after none paid, and the rise of the skew
-#: that ends them. A plan for 24 ranks and 16 layers takes a quarter of a second of the
-#: processor; looked for at each turn it took all of it while the skew stayed near 1.5.
-_SETTLED: Final = 2_000
-_UNSETTLED: Final = 0.1
-#: Milliseconds after a move of demand within which a change that saves less is made as
-#: well, and what it must save: the map planned right after a move may be made from counts
-#: of before it in part. Only where a copy takes no more than the last figure of the time
-#: that demand stays. On one simulated day each, 568 callers were late where 606 had been
-#: with copies of 14 ms; with 400 ms 329 were where 225 had been, and twice as many changes
-#: were made.
-_FOLLOW_UP: Final = 1_500
-_FOLLOW_UP_SAVED: Final = 0.12
-_QUICK_COPY: Final = 0.02
-#: Milliseconds that a change takes beside its copies: orders, questions and arming. 12 of
-#: 13 changes of 12 ranks took 46 to 144, one 179.
+#: Registered name of the demand estimator.
+_ESTIMATOR_NAME: Final = "moves"
+#: Minimum total of the counts, over all layers and experts, for planning.
+_MIN_COUNTS: Final = 20_000
+#: Milliseconds without planning after no worthwhile change was found, and the rise in skew that
+#: ends this interval early. Planning is too expensive to repeat at every tick.
+_REPLAN_INTERVAL: Final = 2_000
+_REPLAN_SKEW_RISE: Final = 0.1
+#: Milliseconds after a demand shift during which a change with smaller savings is accepted, and
+#: those savings: a map planned right after a shift may be based in part on counts from before it.
+#: Applies only if a copy takes at most ``_MAX_COPY_FRACTION`` of the expected duration of the
+#: demand, as otherwise the additional copies cost more than they save.
+_SHIFT_WINDOW: Final = 1_500
+_SHIFT_MIN_SAVINGS: Final = 0.12
+_MAX_COPY_FRACTION: Final = 0.02
+#: Milliseconds that a change takes in addition to its copies, for orders, polling and arming.
 _CHANGE_OVERHEAD: Final = 100
 
 
@@ -71,7 +66,7 @@
         incarnation: str,
         geometry: RankGeometry,
         demand: DemandStabilityEstimator,
-        results: Counter,
+        change_counter: Counter,
         clock: Clock,
     ) -> None:
         self._group = group
@@ -81,20 +76,20 @@
         self._demand = demand
         self._clock = clock
         self._changer: MapChanger | None = None
-        self._fences: Fences | None = None
+        self._fences: FenceSequence | None = None
         self._layers: tuple[Layer, ...] = ()
-        #: Version that the layers belong to.
+        #: Version of the map in ``_layers``.
         self._version = 0
-        self._estimate: DemandEstimator | None = None
-        #: Moves of demand seen when a change was last looked for, and when the last was.
-        self._moves = 0
-        self._moved_at = -_FOLLOW_UP
-        self._results = results
-        #: Skew at which no change paid, and the time on the clock until which none is
-        #: looked for unless the skew rises.
-        self._settled_skew = 0.0
-        self._settled_until = 0
-        #: Skew of the map in force under the demand seen last; 0 before any.
+        self._estimator: DemandEstimator | None = None
+        #: Demand shifts when a change was last considered, and the time of the last shift.
+        self._shift_count = 0
+        self._shifted_at = -_SHIFT_WINDOW
+        self._change_counter = change_counter
+        #: Skew for which no worthwhile change was found, and the time until which no other is
+        #: planned unless the skew rises.
+        self._rejected_skew = 0.0
+        self._next_plan_at = 0
+        #: Skew of the map in force under the latest demand; 0 if unknown.
         self.skew = 0.0
 
     @property
@@ -103,41 +98,45 @@
         return self._group.epoch
 
     @property
-    def has_taken_on(self) -> bool:
-        """Tell whether the group's map is this owner's to change."""
+    def owns_map(self) -> bool:
+        """Return whether this owner has taken ownership of the map."""
         return self._changer is not None
 
-    def turn(self) -> bool:
-        """Do what is due; false when the group is no longer this owner's."""
+    def tick(self) -> bool:
+        """Do the work that is due; return false if the group no longer belongs to this owner."""
         if self._changer is None:
-            return self._take_on()
+            return self._take_ownership()
         report = self._group.own_report()
         if report is None:
             return True
         if report.epoch != self._group.epoch:
             return False
-        if self._is_held(report) and not self._settle(self._changer.recover()):
+        if self._is_held(report) and not self._record_result(self._changer.recover()):
             return False
-        is_new = self._weigh(self._group.take_counts())
+        is_frame_complete = self._add_counts(self._group.take_counts())
         if not report.is_open or report.armed is not None:
             return True
         if report.map_version != self._version and not self._read_layers():
             return True
-        if not is_new or self._estimate is None:
+        if not is_frame_complete or self._estimator is None:
             return True
-        return self._improve(self._changer, self._estimate)
+        return self._update_map(self._changer, self._estimator)
 
-    def _take_on(self) -> bool:
-        """Number this owner, and end what the one before left behind."""
+    def _take_ownership(self) -> bool:
+        """Allocate fences and complete or roll back the previous owner's change."""
         if not self._group.is_linked:
             return True
-        fences = take_fences(self._store, self._group.name, self._incarnation, self._group.epoch)
+        fences = allocate_fences(
+            self._store, self._group.name, self._incarnation, self._group.epoch
+        )
         if isinstance(fences, Unavailable | Unusable):
-            _log.warning("cannot take the group on", group=self._group.name, cause=fences.detail)
+            _log.warning(
+                "could not take ownership of the group", group=self._group.name, cause=fences.detail
+            )
             return True
         changer = MapChanger(self._group, self._group.epoch, fences, self._clock)
-        if not self._settle(changer.recover()) or not self._read_layers():
-            return self._group.epoch == self._epoch_now()
+        if not self._record_result(changer.recover()) or not self._read_layers():
+            return self._group.epoch == self._current_epoch()
         self._changer, self._fences = changer, fences
         _log.info(
             "owns the map", group=self._group.name, epoch=self._group.epoch, fence=fences.base
@@ -145,21 +144,21 @@
         return True
 
     def _is_held(self, own: RankReport) -> bool:
-        """Tell whether a hold stands although no change is under way."""
-        return bool(own.held_step) or self._group.last_held(HOLD_RANK)
+        """Return whether a hold exists although no change is in progress."""
+        return bool(own.held_step) or self._group.confirms_hold(HOLD_RANK)
 
-    def _epoch_now(self) -> int:
+    def _current_epoch(self) -> int:
         report = self._group.own_report()
         return report.epoch if report is not None else self._group.epoch
 
-    def _settle(self, result: ChangeResult) -> bool:
-        """Count how a change ended; false when the group is no longer this owner's."""
-        self._results.add(result.value)
+    def _record_result(self, result: ChangeResult) -> bool:
+        """Count the result of a change; return false if it shows that the group is lost."""
+        self._change_counter.add(result.value)
         return result not in (ChangeResult.REFORMED, ChangeResult.REPLACED)
 
     def _read_layers(self) -> bool:
-        """Learn the map in force from the ranks themselves."""
-        held = dict(self._group.ask_layers(_LAYERS_TIMEOUT))
+        """Read the map in force from the ranks."""
+        held = dict(self._group.fetch_layers(_LAYERS_TIMEOUT))
         own = self._group.own_layers()
         if own is not None:
             held[self._group.own_rank] = own.layers
@@ -169,122 +168,132 @@
         self._layers = _holders(held, self._geometry.experts)
         return True
 
-    def _weigh(self, counts: Sequence[int]) -> bool:
-        """Take new counts; true when all ranks have told theirs."""
-        if self._estimate is None:
+    def _add_counts(self, counts: Sequence[int]) -> bool:
+        """Add counts to the demand estimate; return whether they completed a frame."""
+        if self._estimator is None:
             if not counts:
                 return False
-            frame = READ_EVERY * reading_rounds(sharing_ranks(self._group.size), len(counts))
-            self._estimate = DEMAND_ESTIMATORS.get(_ESTIMATE)(frame)
-        return self._estimate.add_counts(self._clock.wall(), counts)
+            frame = READ_INTERVAL * intervals_per_round(
+                ranks_sharing_link(self._group.size), len(counts)
+            )
+            self._estimator = DEMAND_ESTIMATORS.get(_ESTIMATOR_NAME)(frame)
+        return self._estimator.add_counts(self._clock.wall(), counts)
 
-    def _improve(self, changer: MapChanger, estimate: DemandEstimator) -> bool:
-        weights = self._by_layer(estimate.weights)
-        if sum(estimate.weights) < _ENOUGH_COUNTS:
+    def _update_map(self, changer: MapChanger, estimator: DemandEstimator) -> bool:
+        weights = self._by_layer(estimator.weights)
+        if sum(estimator.weights) < _MIN_COUNTS:
             return True
         now = self._clock.now()
         ranks = range(self._group.size)
-        paces = self._group.paces()
-        if not paces:
+        slowdowns = self._group.slowdowns()
+        if not slowdowns:
             self.skew = map_skew(ExpertMap(self._layers), weights, ranks)
             self._demand.record_skew(now, self.skew)
-        else:  # what a slow rank does to the skew says nothing of demand
-            self.skew = map_skew(ExpertMap(self._layers), weights, ranks, paces)
-        if estimate.is_transitioning:
+        else:  # skew caused by slow ranks says nothing about demand
+            self.skew = map_skew(ExpertMap(self._layers), weights, ranks, slowdowns)
+        if estimator.is_transitioning:
             _log.info("demand moves", group=self._group.name, skew=round(self.skew, 3))
             return True
-        has_moved = estimate.shift_count != self._moves
-        self._moves = estimate.shift_count
-        if has_moved:
-            self._moved_at = now
-        is_settled = self.skew < self._settled_skew + _UNSETTLED and now < self._settled_until
-        if is_settled and not has_moved:
+        has_shifted = estimator.shift_count != self._shift_count
+        self._shift_count = estimator.shift_count
+        if has_shifted:
+            self._shifted_at = now
+        is_suppressed = (
+            self.skew < self._rejected_skew + _REPLAN_SKEW_RISE and now < self._next_plan_at
+        )
+        if is_suppressed and not has_shifted:
             return True
-        began = self._clock.now()
-        step = self._plan(weights, paces)
-        if not step.copies:
+        started_at = self._clock.now()
+        update = self._plan(weights, slowdowns)
+        if not update.copies:
             _log.info(
-                "no change of the map pays",
+                "no worthwhile map change",
                 group=self._group.name,
                 skew=round(self.skew, 3),
-                counts=round(sum(estimate.weights)),
+                counts=round(sum(estimator.weights)),
                 horizon=round(self._demand.expected_duration),
-                took=self._clock.now() - began,
+                took=self._clock.now() - started_at,
             )
-            self._settled_skew, self._settled_until = self.skew, now + _SETTLED
+            self._rejected_skew, self._next_plan_at = self.skew, now + _REPLAN_INTERVAL
             return True
-        self._settled_until = 0
-        if paces:
-            _log.info("slow ranks", group=self._group.name, paces=paces)
-        return self._put_in_force(changer, step)
+        self._next_plan_at = 0
+        if slowdowns:
+            _log.info("slow ranks", group=self._group.name, paces=slowdowns)
+        return self._activate(changer, update)
 
     def _by_layer(self, weights: Sequence[float]) -> list[Sequence[float]]:
         experts = self._geometry.experts
         return [weights[start : start + experts] for start in range(0, len(weights), experts)]
 
-    def _plan(self, weights: Sequence[Sequence[float]], paces: Mapping[int, float]) -> MapUpdate:
-        terms = MapUpdateParameters(
+    def _plan(
+        self, weights: Sequence[Sequence[float]], slowdowns: Mapping[int, float]
+    ) -> MapUpdate:
+        parameters = MapUpdateParameters(
             capacity=self._geometry.capacity,
             max_new_experts=self._geometry.new_limit,
             copy_time=self._geometry.copy_time,
             overhead=_CHANGE_OVERHEAD,
             horizon=self._demand.expected_duration,
-            min_savings=self._least_saved(),
+            min_savings=self._min_savings(),
+        )
+        return plan_map_update(
+            self._layers, weights, range(self._group.size), parameters, slowdowns
         )
-        return plan_map_update(self._layers, weights, range(self._group.size), terms, paces)
 
-    def _least_saved(self) -> float:
-        """Return the part of the burden that a change must save now."""
-        is_quick = self._geometry.copy_time <= _QUICK_COPY * self._demand.expected_duration
-        is_after_move = self._clock.now() - self._moved_at < _FOLLOW_UP
-        return _FOLLOW_UP_SAVED if is_quick and is_after_move else MIN_SAVINGS
+    def _min_savings(self) -> float:
+        """Return the fraction of the cost that a change must currently save."""
+        is_copy_fast = (
+            self._geometry.copy_time <= _MAX_COPY_FRACTION * self._demand.expected_duration
+        )
+        is_after_shift = self._clock.now() - self._shifted_at < _SHIFT_WINDOW
+        return _SHIFT_MIN_SAVINGS if is_copy_fast and is_after_shift else MIN_SAVINGS
 
-    def _put_in_force(self, changer: MapChanger, step: MapUpdate) -> bool:
+    def _activate(self, changer: MapChanger, update: MapUpdate) -> bool:
         assert self._fences is not None
-        new = NewMap(
+        new_map = NewMap(
             version=self._fences.next(),
-            layers_by_rank=_by_rank(step.layers, self._group.size),
-            copy_time=round(step.max_copies_per_rank * self._geometry.copy_time),
+            layers_by_rank=_by_rank(update.layers, self._group.size),
+            copy_time=round(update.max_copies_per_rank * self._geometry.copy_time),
         )
-        began = self._clock.now()
-        result = changer.change(new)
+        started_at = self._clock.now()
+        result = changer.change(new_map)
         _log.info(
             "map change",
             group=self._group.name,
             epoch=self._group.epoch,
-            version=new.version,
+            version=new_map.version,
             result=result.value,
-            copies=step.copies,
-            most_copies=step.max_copies_per_rank,
-            skew_before=round(step.skew_before, 3),
-            skew_planned=round(step.skew_after, 3),
+            copies=update.copies,
+            most_copies=update.max_copies_per_rank,
+            skew_before=round(update.skew_before, 3),
+            skew_planned=round(update.skew_after, 3),
             horizon=round(self._demand.expected_duration),
-            took=self._clock.now() - began,
-            taken=changer.times.taken,
-            prepare=changer.times.prepare,
-            asked=changer.times.asked,
-            arm=changer.times.arm,
-            arm_tries=changer.times.arm_tries,
+            took=self._clock.now() - started_at,
+            taken=changer.timings.accept_time,
+            prepare=changer.timings.prepare_time,
+            asked=changer.timings.polls,
+            arm=changer.timings.arm_time,
+            arm_tries=changer.timings.arm_attempts,
         )
         if result is ChangeResult.IN_FORCE:
-            self._layers, self._version = step.layers, new.version
+            self._layers, self._version = update.layers, new_map.version
             self._demand.record_activation(self._clock.now())
-        return self._settle(result)
+        return self._record_result(result)
 
 
 def _holders(held: dict[int, RankLayers], experts: int) -> tuple[Layer, ...]:
-    """Return the ranks that hold each expert, layer by layer."""
+    """Return the ranks that hold each expert, by layer."""
     layers = len(next(iter(held.values())))
     holders: list[list[list[int]]] = [[[] for _ in range(experts)] for _ in range(layers)]
     for rank in sorted(held):
-        for layer, of_rank in enumerate(held[rank]):
-            for expert in of_rank:
+        for layer, experts_of_rank in enumerate(held[rank]):
+            for expert in experts_of_rank:
                 holders[layer][expert].append(rank)
     return tuple(tuple(tuple(ranks) for ranks in layer) for layer in holders)
 
 
 def _by_rank(layers: Sequence[Layer], ranks: int) -> tuple[RankLayers, ...]:
-    """Return the experts of each rank, layer by layer."""
+    """Return the experts of each rank, by layer."""
     return tuple(
         tuple(
             tuple(expert for expert, holders in enumerate(layer) if rank in holders)
--- a/src/canvasyoke/experts/_packing.py
+++ b/src/canvasyoke/experts/_packing.py
@@ -1,13 +1,11 @@
-"""Counts and maps as they go over a link: packed once, and small.
+"""Compact encoding of counts and expert maps for transfer over links.
 
-In a group of 96 ranks with 16 layers of 192 experts an order to prepare a map is 6 KB and
-needs 0.14 MB as nested lists. An owner that made one for each rank and sent it again to
-ranks that had not answered yet, since 0.6 MB take the better part of a second on 6 Mbit/s,
-held 13 MB more with each round of orders and went over 168 MB within seconds. Packed, the
-same map is 0.5 to 2 KB and is shared by the orders to all ranks.
+Maps are compressed once and the result is shared by the orders to all ranks. Encoding the map
+separately for each rank would exhaust the owner's memory and bandwidth in large groups, where
+orders are queued and repeated.
 
-Counts go in steps no finer than they scatter by chance: a rank that chose each of 3,072
-experts 31 times in 0.2 s tells 1.5 KB in place of 2.6 KB, and of 4.6 KB unpacked.
+Counts are quantized with a step no larger than their statistical noise, which makes them compress
+better.
 """
 
 from __future__ import annotations
@@ -21,67 +19,67 @@
 
 from canvasyoke.experts._rank_port import RankLayers
 
-#: zlib's fastest level: the next ones take twice as long for a tenth less.
-_LEVEL: Final = 1
-#: Bytes that packed figures may have once unpacked: counts of 200,000 experts.
-_UNPACKED_LIMIT: Final = 1_000_000
+#: Fastest level of zlib; higher levels take much longer and save little.
+_COMPRESSION_LEVEL: Final = 1
+#: Maximum decompressed size, enough for the counts of 200,000 experts.
+_MAX_UNPACKED_BYTES: Final = 1_000_000
 
 
-#: Bits that a step leaves out at the most: counts of 4 thousand million.
-_MOST_BITS: Final = 16
+#: Maximum number of low bits dropped by quantization.
+_MAX_SHIFT: Final = 16
 
 
 class PackingError(ValueError):
-    """Bytes that are not packed figures, or too many of them."""
+    """Raised for data that is malformed or too large when decompressed."""
 
 
 def pack_counts(counts: Sequence[int]) -> bytes:
-    """Return ``counts`` packed, each to the next step; empty for none."""
+    """Return quantized and compressed ``counts``; empty if there are none."""
     if not counts:
         return b""
-    bits = _step_bits(sum(counts) / len(counts))
+    bits = _quantization_bits(sum(counts) / len(counts))
     half = (1 << bits) >> 1
-    # Halves go up and down in turn, so that sums stay what they were.
-    halves = (half, max(0, half - 1))
-    steps = [(count + halves[index & 1]) >> bits for index, count in enumerate(counts)]
-    return _pack([bits, *steps])
+    # Alternate between rounding a half up and down, so that totals are preserved.
+    rounding = (half, max(0, half - 1))
+    quantized = [(count + rounding[index & 1]) >> bits for index, count in enumerate(counts)]
+    return _pack([bits, *quantized])
 
 
 def unpack_counts(data: bytes) -> list[int]:
-    """Return packed counts; raises :class:`PackingError`."""
+    """Return decoded counts; raise :class:`PackingError` for invalid data."""
     if not data:
         return []
-    bits, *steps = _unpack(data, list[int]) or [0]
-    if not 0 <= bits <= _MOST_BITS:
-        raise PackingError(f"steps of {bits} bits")
-    return [step << bits for step in steps]
+    bits, *quantized = _unpack(data, list[int]) or [0]
+    if not 0 <= bits <= _MAX_SHIFT:
+        raise PackingError(f"quantization of {bits} bits is out of range")
+    return [value << bits for value in quantized]
 
 
-def _step_bits(mean: float) -> int:
-    """Return the bits left out: the longest step that is no longer than chance scatters."""
-    return min(_MOST_BITS, max(0, int(math.log2(max(1.0, mean))) // 2))
+def _quantization_bits(mean: float) -> int:
+    """Return the number of low bits to drop, so that the step is at most the standard deviation."""
+    return min(_MAX_SHIFT, max(0, int(math.log2(max(1.0, mean))) // 2))
 
 
 def pack_layers(layers_by_rank: Sequence[RankLayers]) -> bytes:
-    """Return what each rank holds, packed; empty for no map."""
+    """Return the compressed layers of each rank; empty if there is no map."""
     return _pack(layers_by_rank) if layers_by_rank else b""
 
 
 def unpack_layers(data: bytes) -> tuple[RankLayers, ...]:
-    """Return what each rank holds; raises :class:`PackingError`."""
+    """Return the layers of each rank; raise :class:`PackingError` for invalid data."""
     return _unpack(data, tuple[tuple[tuple[int, ...], ...], ...]) if data else ()
 
 
-def _pack(figures: object) -> bytes:
-    return zlib.compress(msgspec.msgpack.encode(figures), _LEVEL)
+def _pack(value: object) -> bytes:
+    return zlib.compress(msgspec.msgpack.encode(value), _COMPRESSION_LEVEL)
 
 
-def _unpack(data: bytes, kind: Any) -> Any:
+def _unpack(data: bytes, expected_type: Any) -> Any:
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, _UNPACKED_LIMIT)
+        decompressed = unpacker.decompress(data, _MAX_UNPACKED_BYTES)
         if unpacker.unconsumed_tail or not unpacker.eof:
-            raise PackingError("too long or cut short")
-        return msgspec.msgpack.decode(plain, type=kind)
+            raise PackingError("packed data is too large or truncated")
+        return msgspec.msgpack.decode(decompressed, type=expected_type)
     except (zlib.error, msgspec.MsgspecError) as exc:
         raise PackingError(str(exc)) from exc
--- a/src/canvasyoke/experts/_rank_port.py
+++ b/src/canvasyoke/experts/_rank_port.py
@@ -1,4 +1,4 @@
-"""What the owner of an expert map asks of the ranks of its group."""
+"""Port through which a rank is read and controlled, with the types of its reports and orders."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from canvasyoke._registry import Registry
 
-#: Experts of each layer that one rank holds.
+#: Experts of one rank by layer.
 RankLayers: TypeAlias = tuple[tuple[int, ...], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Armed:
-    """A map that a rank takes as a step begins."""
+    """A prepared map that a rank activates when a step begins."""
 
     version: int
     step: int
@@ -24,27 +24,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RankReport:
-    """What a rank says of itself and its group."""
+    """State of a rank and its group."""
 
     group: str
     rank: int
-    #: Ranks of the group.
+    #: Number of ranks in the group.
     size: int
-    #: Rises each time that the group is formed anew; maps do not outlast it.
+    #: Incremented each time that the group is re-formed; maps are valid for one epoch.
     epoch: int
-    #: Whether the group makes steps; not while a rank is missing.
+    #: Whether the group executes steps; false while a rank is missing.
     is_open: bool
-    #: The last step begun; an idle group makes none.
+    #: The last step begun; an idle group begins none.
     step: int
-    #: Version of the map in force; 0 for the one that a group begins with.
+    #: Version of the map in force; 0 for the initial map.
     map_version: int
     #: Version of the map whose experts the rank has copied; 0 for none.
     prepared: int
     armed: Armed | None
-    #: Step that this rank keeps its group from beginning; 0 for none.
+    #: Step that this rank prevents its group from beginning; 0 for none.
     held_step: int
-    #: How many times as long as usual it takes for the same work.
-    pace: float = 1.0
+    #: Processing time relative to the usual one for the same work.
+    slowdown: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,24 +56,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RankMap:
-    """The part of a map that one rank holds."""
+    """One rank's part of a map."""
 
     version: int
     layers: RankLayers
 
 
 class MapOrderKind(enum.StrEnum):
-    """What a rank is told to do."""
+    """Kind of an order to a rank."""
 
     #: Copy the experts of a map.
     PREPARE = "prepare"
-    #: Take a prepared map as a step begins.
+    #: Activate a prepared map when a step begins.
     ARM = "arm"
-    #: Take back an ``ARM``.
+    #: Cancel an ``ARM``.
     DISARM = "disarm"
-    #: Keep the group from beginning a step; it does not lapse.
+    #: Prevent the group from beginning a step; it does not expire.
     HOLD = "hold"
-    #: Take back a ``HOLD``.
+    #: Cancel a ``HOLD``.
     RELEASE = "release"
 
 
@@ -82,57 +82,56 @@
     """An order to one rank."""
 
     kind: MapOrderKind
-    #: Ranks turn away a fence below the highest that they have seen.
+    #: Fencing token; ranks reject orders below the highest that they have seen.
     fence: int
     epoch: int
     version: int = 0
     step: int = 0
-    #: For ``PREPARE``: what each rank of the group holds.
+    #: For ``PREPARE``: the layers of each rank of the group.
     layers_by_rank: tuple[RankLayers, ...] = field(default=(), repr=False)
 
 
 class OrderOutcome(enum.StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     DONE = "done"
-    #: It does not fit the rank's state.
+    #: The order conflicts with the rank's state.
     CONFLICT = "conflict"
     #: The rank has seen a higher fence.
     FENCED = "fenced"
-    #: The rank will not take it as it is.
+    #: The rank refused the order as invalid.
     REJECTED = "rejected"
-    #: No answer: it may have been done or may yet be.
+    #: No answer; the order may have been executed, or may still be.
     UNKNOWN = "unknown"
 
 
 class RankPort(ABC):
-    """One rank. Adapters raise nothing."""
+    """Adapter for one rank. Implementations report errors as values and do not raise."""
 
     @abstractmethod
     def report(self) -> RankReport | RankUnreachable | None:
-        """Return what the rank says of itself; ``None`` when it is in no group."""
+        """Return the rank's report, or ``None`` if it is in no group."""
 
     @abstractmethod
     def counts(self) -> tuple[int, ...] | RankUnreachable:
-        """Return how often each expert was chosen since the rank's start, layer by layer."""
+        """Return the choices of each expert since the rank's start, layer by layer."""
 
     @abstractmethod
-    def map_in_force(self) -> RankMap | RankUnreachable:
-        """Return the part of the map in force that the rank holds."""
+    def current_map(self) -> RankMap | RankUnreachable:
+        """Return the rank's part of the map in force."""
 
     @abstractmethod
     def order(self, order: MapOrder) -> OrderOutcome:
-        """Give an order and wait for its answer."""
+        """Send an order and wait for the answer."""
 
 
-#: Milliseconds for an answer of the engine beside, which takes one, and of the farthest,
-#: which takes ten; what takes longer was lost. An order without an answer is given again
-#: while the group stands still, so the limits are short.
-NEAR_TIMEOUT: Final = 30
-FAR_TIMEOUT: Final = 80
+#: Timeouts in milliseconds for the local engine and for engines on other hosts. They are short
+#: because unanswered orders are repeated while the group is stopped.
+LOCAL_TIMEOUT: Final = 30
+REMOTE_TIMEOUT: Final = 80
 
-#: Makes a rank adapter for the engine at ``IP:PORT`` with a limit in milliseconds.
-MakeRankPort: TypeAlias = Callable[[str, int], RankPort]
+#: Creates a rank adapter for the engine at ``IP:PORT`` with a timeout in milliseconds.
+RankPortFactory: TypeAlias = Callable[[str, int], RankPort]
 
-#: Adapters by name.
-RANK_PORTS: Registry[MakeRankPort] = Registry("rank adapter")
+#: Rank adapters by name.
+RANK_PORTS: Registry[RankPortFactory] = Registry("rank adapter")
--- a/src/canvasyoke/experts/_relay.py
+++ b/src/canvasyoke/experts/_relay.py
@@ -1,10 +1,9 @@
-"""One rank's process that stands between its failure domain and the owner of a large group.
+"""Relay between the ranks of a failure domain and the owner of a large group.
 
-The owner of 96 ranks has 3 to 6 Mbit/s. Readings of 32 ranks a turn took 2.3 Mbit/s of it,
-and a map to each of 95 ranks 0.24 MB more; orders waited behind them for seconds, and no map
-was ever taken. A relay adds up the counts of its domain and passes one sum on, and takes the
-orders for all of its domain in one message with the map in it once. Statuses and answers go
-through one by one, so the owner knows of each rank what it knew before.
+The owner's bandwidth does not suffice for readings from, and maps to, every rank of a large group.
+A relay sends the owner one sum of its ranks' counts, and receives the orders for all of its ranks
+in one message that contains the map once. Statuses and answers are forwarded individually, so that
+the owner still knows the state of each rank.
 """
 
 from __future__ import annotations
@@ -29,38 +28,37 @@
 from canvasyoke.transport import LinkServer, Session
 
 _log = part_logger("relay")
-#: Ranks up to which all link with the owner itself. Readings of 32 ranks with 1,536
-#: numbers take 1.2 Mbit/s.
-DIRECT_LIMIT: Final = 32
-#: Ranks that are linked with the owner in any case: the owner and its standby.
-_ALWAYS_DIRECT: Final = 2
-#: Ranks behind one relay at the most, itself included. A map of 2 KB to each of 24 takes
-#: 0.13 s of 3 Mbit/s.
-_MEMBERS: Final = 24
+#: Maximum size of a group in which all ranks link directly to the owner.
+MAX_DIRECT_RANKS: Final = 32
+#: Number of ranks that never use a relay: the owner and its standby.
+_DIRECT_RANKS: Final = 2
+#: Maximum number of ranks per relay, including itself. It bounds the bandwidth for sending them a
+#: map.
+_MAX_RELAY_RANKS: Final = 24
 
 
 def members_of_relay(rank: int, domains: Mapping[int, str]) -> Sequence[int]:
-    """Return the ranks that share a relay with ``rank``, the relay first.
+    """Return the ranks that share a relay with ``rank``, starting with the relay.
 
-    Empty for a rank that is linked with the owner itself. ``domains`` has the failure
-    domain of each rank that is known; a large domain has several relays.
+    Empty for a rank that links directly to the owner. ``domains`` maps known ranks to failure
+    domains; a large domain has several relays.
     """
     domain = domains.get(rank)
-    if len(domains) <= DIRECT_LIMIT or rank < _ALWAYS_DIRECT or not domain:
+    if len(domains) <= MAX_DIRECT_RANKS or rank < _DIRECT_RANKS or not domain:
         return ()
-    ranks = sorted(r for r, d in domains.items() if d == domain and r >= _ALWAYS_DIRECT)
-    size = -(-len(ranks) // -(-len(ranks) // _MEMBERS))
+    ranks = sorted(r for r, d in domains.items() if d == domain and r >= _DIRECT_RANKS)
+    size = -(-len(ranks) // -(-len(ranks) // _MAX_RELAY_RANKS))
     start = ranks.index(rank) // size * size
     return ranks[start : start + size]
 
 
-def sharing_ranks(size: int) -> int:
-    """Return how many ranks of a group share the way on which their readings take turns."""
-    return size if size <= DIRECT_LIMIT else _MEMBERS
+def ranks_sharing_link(size: int) -> int:
+    """Return the number of ranks that take turns in sending readings over a shared link."""
+    return size if size <= MAX_DIRECT_RANKS else _MAX_RELAY_RANKS
 
 
 class Relay:
-    """The links of one domain's ranks; fed by the link server's task and the process's own."""
+    """Links to the ranks of one domain; used by the link server's and the process's threads."""
 
     def __init__(
         self, address: str, link_key: bytes, instance: str, incarnation: str, clock: Clock
@@ -69,7 +67,7 @@
         self._sessions: dict[int, Session] = {}
         self._readings: dict[int, RankReading] = {}
         self._counts: list[int] = []
-        #: The link to the owner, once there is one.
+        #: Link to the owner; ``None`` before the first report.
         self._owner: Session | None = None
         self._server = LinkServer(
             address,
@@ -77,53 +75,53 @@
             instance,
             incarnation,
             clock,
-            self.took,
+            self.on_message,
             lambda _session: None,
-            self.closed,
+            self.on_closed,
         )
 
     def start(self) -> None:
-        """Begin to take links."""
+        """Start accepting links."""
         self._server.start()
 
     def use_key(self, link_key: bytes) -> None:
-        """Take new links by another key; those that stand go on."""
+        """Use another key for new links; existing links are kept."""
         self._server.use_key(link_key)
 
     def stop(self) -> None:
-        """End the links of the domain."""
+        """Close the links to the ranks."""
         self._server.stop()
 
-    def took(self, session: Session, message: Message) -> None:
-        """Take a message from the process beside another rank of the domain."""
+    def on_message(self, session: Session, message: Message) -> None:
+        """Handle a message from another rank process of the domain."""
         if isinstance(message, RankReading):
-            self._took_reading(session, message)
+            self._on_reading(session, message)
         elif isinstance(message, RankOrdered):
-            self._pass_up(message)
+            self._forward_to_owner(message)
 
-    def _took_reading(self, session: Session, reading: RankReading) -> None:
+    def _on_reading(self, session: Session, reading: RankReading) -> None:
         try:
             counts = unpack_counts(reading.counts)
         except PackingError as exc:
-            _log.warning("counts cannot be read", rank=reading.rank, cause=exc)
+            _log.warning("undecodable counts", rank=reading.rank, cause=exc)
             counts = []
         with self._lock:
             self._sessions[reading.rank] = session
             self._readings[reading.rank] = msgspec.structs.replace(reading, counts=b"")
             self._counts = add_counts(self._counts, counts)
 
-    def closed(self, session: Session) -> None:
-        """Take note that a link of the domain has ended."""
+    def on_closed(self, session: Session) -> None:
+        """Report the ranks of a closed link to the owner as lost."""
         with self._lock:
-            lost = [rank for rank, known in self._sessions.items() if known is session]
+            lost = [rank for rank, linked in self._sessions.items() if linked is session]
             for rank in lost:
                 del self._sessions[rank]
                 self._readings.pop(rank, None)
         for rank in lost:
-            self._pass_up(RankLost(rank))
+            self._forward_to_owner(RankLost(rank))
 
-    def report(self, owner: Session, own: RankReading, own_counts: list[int]) -> None:
-        """Tell the owner what all ranks of the domain have counted since the last time."""
+    def send_readings(self, owner: Session, own: RankReading, own_counts: list[int]) -> None:
+        """Send the owner the ranks' readings, with the sum of their counts since the last call."""
         with self._lock:
             self._owner = owner
             counts = add_counts(self._counts, own_counts)
@@ -132,8 +130,8 @@
             self._readings.clear()
         owner.send(RelayedReadings(readings, pack_counts(counts)))
 
-    def order(self, message: RankOrder) -> bool:
-        """Pass an order on; false when its rank is not linked here."""
+    def forward_order(self, message: RankOrder) -> bool:
+        """Forward an order; return false if its rank is not linked."""
         with self._lock:
             session = self._sessions.get(message.rank)
         if session is None or session.closed:
@@ -141,16 +139,16 @@
         session.send(message)
         return True
 
-    def _pass_up(self, message: Message) -> None:
+    def _forward_to_owner(self, message: Message) -> None:
         owner = self._owner
         if owner is not None:
             owner.send(message)
 
 
-def add_counts(one: list[int], other: list[int]) -> list[int]:
-    """Return the sums of two readings; where their lengths differ, the newer ``other``."""
-    if not other or not one:
-        return other or one
-    if len(one) != len(other):
-        return other
-    return [a + b for a, b in zip(one, other, strict=True)]
+def add_counts(older: list[int], newer: list[int]) -> list[int]:
+    """Return the sums of two lists of counts, or ``newer`` if their lengths differ."""
+    if not newer or not older:
+        return newer or older
+    if len(older) != len(newer):
+        return newer
+    return [a + b for a, b in zip(older, newer, strict=True)]
--- a/src/canvasyoke/experts/_standby.py
+++ b/src/canvasyoke/experts/_standby.py
@@ -1,10 +1,10 @@
-"""Ends a change of the map that its owner has left behind.
+"""Recovers a map change left unfinished by an unresponsive owner.
 
-A hold does not lapse: an owner that stands still or dies between hold and release stops
-its group for as long as it is away. The process beside rank 1 watches the owner's link.
-When that has been silent for a while and a change is under way, it takes fences above
-the owner's, disarms all ranks and releases the hold. It changes no map itself; an owner
-that comes back finds its fence too low and takes the group on anew.
+A hold does not expire, so an owner that hangs or dies between hold and release stops its group. The
+process beside rank 1 monitors its link to the owner. If the link is silent for too long while a
+change is in progress, it allocates fences above the owner's, disarms the ranks unless all of them
+are armed, and releases the hold. It starts no changes itself. An owner that resumes finds its
+fences rejected and takes ownership again.
 """
 
 from __future__ import annotations
@@ -16,120 +16,122 @@
 from canvasyoke._clock import Clock
 from canvasyoke.experts._change import MapChanger
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
-from canvasyoke.experts._fences import Fences, take_fences
+from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.experts._group import RankGroup
-from canvasyoke.experts._member import RankMember
+from canvasyoke.experts._member import RankClient
 from canvasyoke.experts._rank_port import Armed, RankReport
 from canvasyoke.observe import Counter, part_logger
 from canvasyoke.state import FleetStore, Unavailable, Unusable
 
 _log = part_logger("standby")
-#: The rank whose process stands by: holds are put there, so that they can be released
-#: when the owner's machine is lost.
+#: Rank whose process is the standby. Holds are placed on it, so that they can be released if the
+#: owner's host is lost.
 STANDBY_RANK: Final = HOLD_RANK
-#: Milliseconds of silence after which the owner is taken to stand still. It answers the
-#: readings that it gets five times a second within a few milliseconds each.
-_OWNER_SILENCE: Final = 600
+#: Milliseconds of silence after which the owner counts as unresponsive. It normally answers each
+#: reading, five times a second, within milliseconds.
+_OWNER_TIMEOUT: Final = 600
 
 
-class StandbyTurn(enum.StrEnum):
-    """What one look came to."""
+class StandbyOutcome(enum.StrEnum):
+    """Outcome of a check."""
 
     OWNER_ALIVE = "the owner is heard of"
     NOTHING_LEFT = "the owner is silent, with nothing under way"
     NO_FENCE = "the owner is silent, and the store gives no fence"
     ENDED = "ended what a silent owner left behind"
-    #: Another owner has the group, or it was formed anew.
+    #: Another owner has taken over, or the group is in a new epoch.
     OVERTAKEN = "the group is no longer the silent owner's"
-    #: Something stands in the way; the next look tries again.
+    #: Recovery was not possible; the next check retries it.
     UNSETTLED = "could not end what a silent owner left behind"
 
 
-#: What a look came to by how the change ended; any other result is tried again.
-_TURNS: Final = {
-    ChangeResult.IN_FORCE: StandbyTurn.ENDED,
-    ChangeResult.ABANDONED: StandbyTurn.ENDED,
-    ChangeResult.REPLACED: StandbyTurn.OVERTAKEN,
-    ChangeResult.REFORMED: StandbyTurn.OVERTAKEN,
+#: Outcome of a check by the result of the recovery; other results are retried.
+_OUTCOMES: Final = {
+    ChangeResult.IN_FORCE: StandbyOutcome.ENDED,
+    ChangeResult.ABANDONED: StandbyOutcome.ENDED,
+    ChangeResult.REPLACED: StandbyOutcome.OVERTAKEN,
+    ChangeResult.REFORMED: StandbyOutcome.OVERTAKEN,
 }
 
 
 class Standby:
-    """Watches over one group in one epoch."""
+    """Monitors the owner of one group in one epoch."""
 
     def __init__(
         self,
         report: RankReport,
-        owner_rank: Callable[[], RankMember | None],
+        owner_client: Callable[[], RankClient | None],
         group: Callable[[], RankGroup | None],
         store: FleetStore,
         incarnation: str,
-        results: Counter,
+        change_counter: Counter,
         clock: Clock,
     ) -> None:
         self._name = report.group
         #: Epoch of the group.
         self.epoch = report.epoch
-        self._owner_rank = owner_rank
+        self._owner_client = owner_client
         self._group = group
         self._store = store
         self._incarnation = incarnation
-        self._results = results
+        self._change_counter = change_counter
         self._clock = clock
-        #: A map that all ranks are armed alike for: it needs no hold and no owner.
-        self._complete: Armed | None = None
-        #: Fences above those of the owner that is silent now.
-        self._fences: Fences | None = None
-        #: What the last look came to, so that only changes are logged.
-        self._last = StandbyTurn.OWNER_ALIVE
-
-    def turn(self, report: RankReport, silence: int) -> StandbyTurn:
-        """Look once; ``silence`` is the time since the owner was last heard of."""
-        result = self._look(report, silence)
-        if result is not self._last:
-            self._last = result
+        #: Map that all ranks are armed for; it needs no further recovery.
+        self._completed: Armed | None = None
+        #: Fences above those of the currently unresponsive owner.
+        self._fences: FenceSequence | None = None
+        #: Outcome of the last check; only differing outcomes are logged.
+        self._last_outcome = StandbyOutcome.OWNER_ALIVE
+
+    def check(self, report: RankReport, silence: int) -> StandbyOutcome:
+        """Check the owner; ``silence`` is the time since its last message."""
+        result = self._evaluate(report, silence)
+        if result is not self._last_outcome:
+            self._last_outcome = result
             _log.info(result.value, group=self._name, epoch=self.epoch, silence=silence)
         return result
 
-    def _look(self, report: RankReport, silence: int) -> StandbyTurn:
-        if silence < _OWNER_SILENCE:
+    def _evaluate(self, report: RankReport, silence: int) -> StandbyOutcome:
+        if silence < _OWNER_TIMEOUT:
             self._fences = None
-            return StandbyTurn.OWNER_ALIVE
-        is_armed = report.armed is not None and report.armed != self._complete
+            return StandbyOutcome.OWNER_ALIVE
+        is_armed = report.armed is not None and report.armed != self._completed
         if not is_armed and not report.held_step:
-            return StandbyTurn.NOTHING_LEFT
+            return StandbyOutcome.NOTHING_LEFT
         group = self._group()
         if group is None:
-            return StandbyTurn.UNSETTLED
-        if self._fences is None and not self._take_fences():
-            return StandbyTurn.NO_FENCE
-        result = self._end(group)
+            return StandbyOutcome.UNSETTLED
+        if self._fences is None and not self._allocate_fences():
+            return StandbyOutcome.NO_FENCE
+        result = self._recover(group)
         if result is ChangeResult.IN_FORCE:
-            self._complete = report.armed
-        return _TURNS.get(result, StandbyTurn.UNSETTLED)
-
-    def _take_fences(self) -> bool:
-        """Take fences above the owner's; they serve until it is heard of again."""
-        taken = take_fences(self._store, self._name, self._incarnation, self.epoch)
-        if isinstance(taken, Unavailable | Unusable):
-            _log.warning("no fence to end a change with", group=self._name, cause=taken.detail)
+            self._completed = report.armed
+        return _OUTCOMES.get(result, StandbyOutcome.UNSETTLED)
+
+    def _allocate_fences(self) -> bool:
+        """Allocate fences above the owner's; they are used until the owner responds again."""
+        allocated = allocate_fences(self._store, self._name, self._incarnation, self.epoch)
+        if isinstance(allocated, Unavailable | Unusable):
+            _log.warning(
+                "could not allocate fences for recovery", group=self._name, cause=allocated.detail
+            )
             return False
-        self._fences = taken
+        self._fences = allocated
         return True
 
-    def _end(self, group: RankGroup) -> ChangeResult:
-        """End the change under way, with the owner's rank if it answers."""
+    def _recover(self, group: RankGroup) -> ChangeResult:
+        """Recover the current change, including the owner's rank if that responds."""
         assert self._fences is not None
         changer = MapChanger(group, self.epoch, self._fences, self._clock)
-        has_owners_rank = self._is_in_reach()
-        result = changer.recover() if has_owners_rank else changer.recover_without_owner()
-        self._results.add(f"standby: {result.value}")
+        is_reachable = self._is_owner_rank_reachable()
+        result = changer.recover() if is_reachable else changer.recover_without_owner()
+        self._change_counter.add(f"standby: {result.value}")
         _log.info("recovered", group=self._name, fence=self._fences.base, result=result.value)
         if result is ChangeResult.REPLACED:
             self._fences = None
         return result
 
-    def _is_in_reach(self) -> bool:
-        """Tell whether the owner's rank answers although its process does not."""
-        member = self._owner_rank()
-        return member is not None and member.report() is not None
+    def _is_owner_rank_reachable(self) -> bool:
+        """Return whether the owner's rank responds although its process does not."""
+        client = self._owner_client()
+        return client is not None and client.report() is not None
--- a/src/canvasyoke/experts/_step_timing.py
+++ b/src/canvasyoke/experts/_step_timing.py
@@ -1,55 +1,53 @@
-"""How many steps ahead a change of the map is armed for.
+"""Chooses how many steps ahead a map change is armed.
 
-The group is held before that step until all ranks are armed. One that begins too soon has
-the group stand still for the rest; with each one more the old map serves a step longer.
+The group is held before the chosen step until all ranks are armed. If the step is too near, the
+group is stopped for the rest of the arming; each additional step prolongs the use of the old map.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-#: Milliseconds to arm each rank, before any change was seen: 32 ranks take about 80.
-_ARM_TIME_A_RANK: Final = 2.5
-#: Milliseconds between two steps before any were seen: a step of a busy group.
-_STEP_TIME: Final = 75.0
-#: Weight of a new arming or step in the running mean.
-_WEIGHT: Final = 0.3
-#: Steps ahead at the most, whatever arming took.
-_MOST: Final = 8
+#: Initial estimate of the milliseconds to arm one rank.
+_INITIAL_ARM_TIME_PER_RANK: Final = 2.5
+#: Initial estimate of the milliseconds between steps.
+_INITIAL_STEP_TIME: Final = 75.0
+#: Weight of a new sample in the moving averages.
+_SMOOTHING_FACTOR: Final = 0.3
+#: Maximum number of additional steps.
+_MAX_EXTRA_STEPS: Final = 8
 
 
 class StepTiming:
-    """Learns what arming takes and how fast steps follow each other."""
+    """Estimates the arming time and the step interval."""
 
     def __init__(self, ranks: int) -> None:
-        self._arm_time = ranks * _ARM_TIME_A_RANK
-        self._step_time = _STEP_TIME
-        #: Last step that was seen begun, and when.
-        self._seen: tuple[int, int] | None = None
+        self._arm_time = ranks * _INITIAL_ARM_TIME_PER_RANK
+        self._step_time = _INITIAL_STEP_TIME
+        #: Last observed step and the time of the observation.
+        self._last_step: tuple[int, int] | None = None
 
     @property
-    def more(self) -> int:
-        """Return the steps to arm for beyond the nearest one.
+    def extra_steps(self) -> int:
+        """Return the number of steps to skip beyond the nearest one.
 
-        One for each step that most of the arming lasts. At 63 ranks arming takes 50 to 100
-        ms and steps follow each other every 75 to 120: one or none, where one for each 16
-        ranks gave three, 0.2 to 0.35 s more with the map that no longer fits.
+        This is the arming time in steps, rounded to the nearest integer.
         """
-        return min(_MOST, int(self._arm_time / self._step_time + 0.5))
-
-    def armed(self, took: int) -> None:
-        """Take note of how long arming all ranks took."""
-        self._arm_time += _WEIGHT * (took - self._arm_time)
-
-    def saw_step(self, step: int, now: int) -> None:
-        """Take note of the last step begun."""
-        if self._seen is not None:
-            before, at = self._seen
-            if step > before and now > at:
-                mean = (now - at) / (step - before)
-                self._step_time += _WEIGHT * (mean - self._step_time)
-        self._seen = (step, now)
-
-    def paused(self) -> None:
-        """Forget the last step: what follows is not at the pace of steps."""
-        self._seen = None
+        return min(_MAX_EXTRA_STEPS, int(self._arm_time / self._step_time + 0.5))
+
+    def record_arming(self, duration: int) -> None:
+        """Add a sample of the time to arm all ranks."""
+        self._arm_time += _SMOOTHING_FACTOR * (duration - self._arm_time)
+
+    def record_step(self, step: int, now: int) -> None:
+        """Add an observation of the current step."""
+        if self._last_step is not None:
+            last_step, seen_at = self._last_step
+            if step > last_step and now > seen_at:
+                mean = (now - seen_at) / (step - last_step)
+                self._step_time += _SMOOTHING_FACTOR * (mean - self._step_time)
+        self._last_step = (step, now)
+
+    def forget_last_step(self) -> None:
+        """Discard the last observation, as the group was stopped in between."""
+        self._last_step = None
--- a/src/canvasyoke/experts/tests/group_model.py
+++ b/src/canvasyoke/experts/tests/group_model.py
@@ -1,4 +1,4 @@
-"""A rank group as a model: steps, maps, orders that are lost, doubled or late."""
+"""Model of a rank group with lost, delayed and unanswered orders."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 from canvasyoke._clock import ManualClock
 from canvasyoke.experts import Armed, MapOrder, MapOrderKind, OrderOutcome, RankReport
-from canvasyoke.experts._group import Ordered, RankGroup
+from canvasyoke.experts._group import OrderResult, RankGroup
 
-#: Milliseconds by which engines' reports to other machines lag.
-_FAR_LAG = 200
+#: Milliseconds by which engines' reports to other hosts lag.
+_REMOTE_LAG = 200
 
 
-class OwnerDied(Exception):
-    """The owner's process ended between two orders."""
+class OwnerDiedError(Exception):
+    """The owner's process died between two orders."""
 
 
-class MapsDiffer(AssertionError):
+class MapMismatchError(AssertionError):
     """A step began while two ranks had different maps."""
 
 
 @dataclass
 class Rank:
-    """One rank; does what the platform's pages say of orders."""
+    """Model of one rank that follows the platform's specification of orders."""
 
     number: int
     epoch: int = 1
     map_version: int = 0
-    highest: int = 0
+    highest_version: int = 0
     prepared: int = 0
     armed: Armed | None = None
     held_step: int = 0
     fence: int = 0
 
-    def take(self, order: MapOrder, step: int) -> OrderOutcome:
+    def apply(self, order: MapOrder, step: int) -> OrderOutcome:
         if order.fence < self.fence:
             return OrderOutcome.FENCED
         self.fence = order.fence
@@ -60,9 +60,9 @@
     def _prepare(self, version: int) -> OrderOutcome:
         if version == self.prepared:
             return OrderOutcome.DONE
-        if version <= self.highest or self.armed is not None:
+        if version <= self.highest_version or self.armed is not None:
             return OrderOutcome.CONFLICT
-        self.highest = self.prepared = version
+        self.highest_version = self.prepared = version
         return OrderOutcome.DONE
 
     def _arm(self, armed: Armed, step: int) -> OrderOutcome:
@@ -73,18 +73,18 @@
         self.armed = armed
         return OrderOutcome.DONE
 
-    def _hold(self, wanted: int, step: int) -> OrderOutcome:
-        if self.held_step == wanted:
+    def _hold(self, requested: int, step: int) -> OrderOutcome:
+        if self.held_step == requested:
             return OrderOutcome.DONE
-        if self.held_step or wanted <= step:
+        if self.held_step or requested <= step:
             return OrderOutcome.CONFLICT
-        self.held_step = wanted
+        self.held_step = requested
         return OrderOutcome.DONE
 
 
 @dataclass
-class World:
-    """A group, its steps, and the orders on their way."""
+class GroupModel:
+    """Model of a group with its steps and the orders in flight."""
 
     size: int
     rng: random.Random
@@ -92,65 +92,65 @@
     step: int = 0
     epoch: int = 1
     ranks: list[Rank] = field(default_factory=list)
-    late: list[tuple[int, MapOrder]] = field(default_factory=list)
-    #: Chances of an order: that it is carried out without an answer, late, or never;
-    #: and that its owner dies right after it.
-    silent: float = 0.0
-    tardy: float = 0.0
-    lost: float = 0.0
-    death: float = 0.0
-    #: Chance that a step begins, that a late order arrives, and that the group is
-    #: formed anew, between two orders.
-    busy: float = 0.5
-    arrival: float = 0.2
-    reform: float = 0.0
-
-    #: What each rank would have reported, with the time.
-    past: list[list[tuple[int, RankReport]]] = field(default_factory=list)
+    delayed: list[tuple[int, MapOrder]] = field(default_factory=list)
+    #: Probabilities that an order is executed without an answer, delayed or lost, and that the
+    #: owner dies right after it.
+    unanswered_rate: float = 0.0
+    delay_rate: float = 0.0
+    loss_rate: float = 0.0
+    death_rate: float = 0.0
+    #: Probabilities, between two orders, that a step begins, that a delayed order arrives, and that
+    #: the group is re-formed.
+    step_rate: float = 0.5
+    arrival_rate: float = 0.2
+    reform_rate: float = 0.0
+
+    #: Past reports of each rank with their times.
+    history: list[list[tuple[int, RankReport]]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.ranks = [Rank(number) for number in range(self.size)]
-        self.past = [[] for _ in self.ranks]
-        self.remember()
+        self.history = [[] for _ in self.ranks]
+        self.record_reports()
 
-    def remember(self) -> None:
-        """Keep what each rank would report now, for those who hear of it late."""
+    def record_reports(self) -> None:
+        """Record the current reports, for readers with a report lag."""
         for rank in self.ranks:
-            self.past[rank.number].append((self.clock.now(), self.report(rank)))
+            self.history[rank.number].append((self.clock.now(), self.report(rank)))
 
-    def pass_time(self) -> None:
-        """Let something happen between two orders."""
+    def advance(self) -> None:
+        """Advance the clock and let random events happen."""
         self.clock.advance(self.rng.randint(1, 30))
-        if self.rng.random() < self.busy:
+        if self.rng.random() < self.step_rate:
             self.begin_step()
-        if self.late and self.rng.random() < self.arrival:
-            rank, order = self.late.pop(self.rng.randrange(len(self.late)))
-            self.ranks[rank].take(order, self.step)
-        if self.rng.random() < self.reform:
-            self.form_anew()
-        self.remember()
+        if self.delayed and self.rng.random() < self.arrival_rate:
+            rank, order = self.delayed.pop(self.rng.randrange(len(self.delayed)))
+            self.ranks[rank].apply(order, self.step)
+        if self.rng.random() < self.reform_rate:
+            self.reform()
+        self.record_reports()
 
     def begin_step(self) -> None:
         """Begin the next step unless a rank holds it."""
-        wanted = self.step + 1
-        if any(rank.held_step == wanted for rank in self.ranks):
+        requested = self.step + 1
+        if any(rank.held_step == requested for rank in self.ranks):
             return
-        self.step = wanted
+        self.step = requested
         for rank in self.ranks:
-            if rank.armed is not None and rank.armed.step == wanted:
+            if rank.armed is not None and rank.armed.step == requested:
                 rank.map_version, rank.armed = rank.armed.version, None
         if len({rank.map_version for rank in self.ranks}) != 1:
-            raise MapsDiffer([rank.map_version for rank in self.ranks])
+            raise MapMismatchError([rank.map_version for rank in self.ranks])
 
-    def form_anew(self) -> None:
-        """Break the group and form it in a new epoch; orders under way stay under way."""
+    def reform(self) -> None:
+        """Re-form the group in a new epoch; orders in flight stay in flight."""
         self.epoch += 1
-        highest = max(rank.highest for rank in self.ranks)
+        highest_version = max(rank.highest_version for rank in self.ranks)
         restarted = self.rng.randrange(self.size)
         for rank in self.ranks:
             fence = 0 if rank.number == restarted else rank.fence
             self.ranks[rank.number] = Rank(
-                rank.number, epoch=self.epoch, highest=highest, fence=fence
+                rank.number, epoch=self.epoch, highest_version=highest_version, fence=fence
             )
 
     def report(self, rank: Rank) -> RankReport:
@@ -168,90 +168,94 @@
         )
 
 
-class ModelGroup(RankGroup):
-    """The group as one owner reaches it."""
+class ModelRankGroup(RankGroup):
+    """The group as seen by one owner."""
 
     def __init__(
         self,
-        world: World,
+        model: GroupModel,
         own_rank: int = 0,
-        out_of_reach: frozenset[int] = frozenset(),
+        unreachable: frozenset[int] = frozenset(),
         lag: int = 0,
     ) -> None:
-        self.world = world
+        self.model = model
         self._own_rank = own_rank
-        self._out_of_reach = out_of_reach
+        self._unreachable = unreachable
         self._lag = lag
 
     @property
     def size(self) -> int:
-        return self.world.size
+        return self.model.size
 
     @property
     def report_lag(self) -> int:
         return self._lag
 
     def pause(self, seconds: float) -> None:
-        """Let at least so much time pass."""
-        until = self.world.clock.now() + round(seconds * 1_000)
-        while self.world.clock.now() < until:
-            self.world.pass_time()
+        """Advance the model by at least the given time."""
+        deadline = self.model.clock.now() + round(seconds * 1_000)
+        while self.model.clock.now() < deadline:
+            self.model.advance()
 
     def _report(self, rank: Rank) -> RankReport:
-        """Return a report as old as reports of this group may be."""
+        """Return a report with the age given by this group's report lag."""
         return self._report_of(rank, self._lag)
 
     def _report_of(self, rank: Rank, lag: int) -> RankReport:
         if not lag or rank.number == self._own_rank:
-            return self.world.report(rank)
-        limit = self.world.clock.now() - lag
-        past = [each for at, each in self.world.past[rank.number] if at <= limit]
-        return past[-1] if past else self.world.past[rank.number][0][1]
-
-    def give(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
+            return self.model.report(rank)
+        latest = self.model.clock.now() - lag
+        history = [each for at, each in self.model.history[rank.number] if at <= latest]
+        return history[-1] if history else self.model.history[rank.number][0][1]
+
+    def send_orders(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
         answers = {}
-        waiting = list(orders.items())
-        while waiting:
-            rank, order = waiting.pop(0)
-            self.world.pass_time()
-            if rank in self._out_of_reach:
-                answers[rank] = Ordered(OrderOutcome.UNKNOWN)
+        pending = list(orders.items())
+        while pending:
+            rank, order = pending.pop(0)
+            self.model.advance()
+            if rank in self._unreachable:
+                answers[rank] = OrderResult(OrderOutcome.UNKNOWN)
                 continue
-            answers[rank] = self._give_one(self.world.ranks[rank], order)
-            if self.world.rng.random() < self.world.death:
-                # Or it is paused, and wakes to send the rest when another owns the map.
-                self.world.late.extend(waiting)
-                raise OwnerDied
+            answers[rank] = self._send_one(self.model.ranks[rank], order)
+            if self.model.rng.random() < self.model.death_rate:
+                # Covers a paused owner that resumes and sends the rest after another took over.
+                self.model.delayed.extend(pending)
+                raise OwnerDiedError
         return answers
 
-    def give_directly(self, orders: Mapping[int, MapOrder], timeout: int) -> Mapping[int, Ordered]:
-        """Give orders as from another machine, which hears of their effect late."""
-        given = self.give(orders, timeout)
+    def send_orders_directly(
+        self, orders: Mapping[int, MapOrder], timeout: int
+    ) -> Mapping[int, OrderResult]:
+        """Send orders as another host does, whose reports lag."""
+        results = self.send_orders(orders, timeout)
         return {
-            rank: Ordered(each.outcome, self._report_of(self.world.ranks[rank], _FAR_LAG))
-            for rank, each in given.items()
+            rank: OrderResult(each.outcome, self._report_of(self.model.ranks[rank], _REMOTE_LAG))
+            for rank, each in results.items()
         }
 
-    def _give_one(self, rank: Rank, order: MapOrder) -> Ordered:
-        world, roll = self.world, self.world.rng.random()
-        if roll < world.lost:
-            return Ordered(OrderOutcome.UNKNOWN)
-        if roll < world.lost + world.tardy:
-            world.late.append((rank.number, order))
-            return Ordered(OrderOutcome.UNKNOWN)
-        outcome = rank.take(order, world.step)
-        if roll < world.lost + world.tardy + world.silent:
-            return Ordered(OrderOutcome.UNKNOWN, self._report(rank))
-        return Ordered(outcome, self._report(rank))
-
-    def ask(self, timeout: int) -> Mapping[int, RankReport]:
-        self.world.pass_time()
+    def _send_one(self, rank: Rank, order: MapOrder) -> OrderResult:
+        model, roll = self.model, self.model.rng.random()
+        if roll < model.loss_rate:
+            return OrderResult(OrderOutcome.UNKNOWN)
+        if roll < model.loss_rate + model.delay_rate:
+            model.delayed.append((rank.number, order))
+            return OrderResult(OrderOutcome.UNKNOWN)
+        outcome = rank.apply(order, model.step)
+        if roll < model.loss_rate + model.delay_rate + model.unanswered_rate:
+            return OrderResult(OrderOutcome.UNKNOWN, self._report(rank))
+        return OrderResult(outcome, self._report(rank))
+
+    def fetch_reports(self, timeout: int) -> Mapping[int, RankReport]:
+        self.model.advance()
         return {
             rank.number: self._report(rank)
-            for rank in self.world.ranks
-            if rank.number not in self._out_of_reach
+            for rank in self.model.ranks
+            if rank.number not in self._unreachable
         }
 
     def own_report(self) -> RankReport | None:
-        self.world.pass_time()
-        return self.world.report(self.world.ranks[self._own_rank])
+        self.model.advance()
+        return self.model.report(self.model.ranks[self._own_rank])
--- a/src/canvasyoke/experts/tests/test_looks.py
+++ b/src/canvasyoke/experts/tests/test_looks.py
@@ -1,34 +1,34 @@
-"""How often a process asks the store for what it lacks."""
+"""Rate limit for lookups in the store."""
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.experts._looks import Looks
+from canvasyoke.experts._looks import LookupLimiter
 
 
-def test_a_start_takes_three_looks_and_then_one_a_second() -> None:
+def test_a_burst_of_three_is_followed_by_one_a_second() -> None:
     clock = ManualClock(start=10_000)
-    looks = Looks(clock)
-    assert [looks.take() for _ in range(4)] == [True, True, True, False]
+    limiter = LookupLimiter(clock)
+    assert [limiter.try_acquire() for _ in range(4)] == [True, True, True, False]
     clock.advance(999)
-    assert not looks.take()
+    assert not limiter.try_acquire()
     clock.advance(1)
-    assert [looks.take() for _ in range(2)] == [True, False]
+    assert [limiter.try_acquire() for _ in range(2)] == [True, False]
 
 
-def test_looks_that_were_not_taken_are_not_saved_up_beyond_three() -> None:
+def test_unused_permits_accumulate_up_to_three() -> None:
     clock = ManualClock(start=10_000)
-    looks = Looks(clock)
-    assert looks.take()
+    limiter = LookupLimiter(clock)
+    assert limiter.try_acquire()
     clock.advance(60_000)
-    assert [looks.take() for _ in range(4)] == [True, True, True, False]
+    assert [limiter.try_acquire() for _ in range(4)] == [True, True, True, False]
 
 
-def test_a_look_is_earned_by_the_whole_second_since_the_last_one_was() -> None:
+def test_refills_are_a_whole_second_apart() -> None:
     clock = ManualClock(start=0)
-    looks = Looks(clock)
+    limiter = LookupLimiter(clock)
     for _ in range(3):
-        assert looks.take()
+        assert limiter.try_acquire()
     clock.advance(1_500)
-    assert looks.take()
+    assert limiter.try_acquire()
     clock.advance(500)
-    assert looks.take()
-    assert not looks.take()
+    assert limiter.try_acquire()
+    assert not limiter.try_acquire()
--- a/src/canvasyoke/experts/tests/test_note_keeper.py
+++ b/src/canvasyoke/experts/tests/test_note_keeper.py
@@ -1,4 +1,4 @@
-"""A rank's note and the links' key are in the store again after it came back without them."""
+"""A note and the link key are restored after the store has lost them."""
 
 from __future__ import annotations
 
@@ -23,54 +23,54 @@
 
 @pytest.fixture
 def door(store: ObjectStore) -> Iterator[StoreDoor]:
-    made = StoreDoor(store)
-    yield made
-    made.close()
+    make_keeper = StoreDoor(store)
+    yield make_keeper
+    make_keeper.close()
 
 
-def made(door: StoreDoor, used: list[bytes]) -> tuple[ObjectsFleetStore, NoteKeeper]:
+def make_keeper(door: StoreDoor, used: list[bytes]) -> tuple[ObjectsFleetStore, NoteKeeper]:
     client = ObjectsFleetStore(door.address)
     return client, NoteKeeper(client, "map-ranks", "ranks", used.append, random.Random(1))
 
 
-def test_what_was_lost_is_written_again(store: ObjectStore, door: StoreDoor) -> None:
+def test_a_lost_note_and_key_are_restored(store: ObjectStore, door: StoreDoor) -> None:
     used: list[bytes] = []
-    client, keeper = made(door, used)
+    client, keeper = make_keeper(door, used)
     empty = store.copy()
     assert read_link_key(client, "ranks", KEY) == KEY
     assert isinstance(client.put_note("map-ranks", "g-1.0", BODY), Note)
     keeper.keep("g-1.0", BODY, KEY)
     store.return_from(empty)
-    keeper.look()
+    keeper.check()
     assert set(store.get("map-ranks")) == {"g-1.0"}
     assert store.get("link-keys") == {"ranks": KEY.hex()}
     assert not used
 
 
-def test_a_key_that_another_made_meanwhile_is_taken(store: ObjectStore, door: StoreDoor) -> None:
+def test_a_key_created_by_another_process_is_adopted(store: ObjectStore, door: StoreDoor) -> None:
     used: list[bytes] = []
-    client, keeper = made(door, used)
+    client, keeper = make_keeper(door, used)
     keeper.keep("g-1.0", BODY, KEY)
     store.return_from(store.copy())
     theirs = read_link_key(client, "ranks")
-    keeper.look()
+    keeper.check()
     assert used == [theirs] != [KEY]
 
 
-def test_a_note_that_is_there_costs_one_look(store: ObjectStore, door: StoreDoor) -> None:
-    client, keeper = made(door, [])
-    keeper.look()
+def test_checking_an_existing_note_takes_one_call(store: ObjectStore, door: StoreDoor) -> None:
+    client, keeper = make_keeper(door, [])
+    keeper.check()
     assert door.calls == 0, "nothing to keep yet"
     assert isinstance(client.put_note("map-ranks", "g-1.0", BODY), Note)
     keeper.keep("g-1.0", BODY, KEY)
     before = door.calls
-    keeper.look()
+    keeper.check()
     assert door.calls == before + 1
 
 
-def test_a_store_that_is_dark_is_left_alone(store: ObjectStore, door: StoreDoor) -> None:
-    _, keeper = made(door, [])
+def test_nothing_is_written_to_an_unavailable_store(store: ObjectStore, door: StoreDoor) -> None:
+    _, keeper = make_keeper(door, [])
     keeper.keep("g-1.0", BODY, KEY)
     door.faults.status = 503
-    keeper.look()
+    keeper.check()
     assert door.calls == 1
--- a/src/canvasyoke/experts/tests/test_owner.py
+++ b/src/canvasyoke/experts/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""When the owner of a group's map looks for a change of it."""
+"""Conditions under which the owner plans a map change."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 EVEN = [10_000] * (EXPERTS * LAYERS)
 
 
-class _Group:
-    """A group of which all ranks are linked and hold the first map."""
+class _FakeGroup:
+    """A group whose ranks are all linked and hold the initial map."""
 
     name, epoch, own_rank, size, is_linked = "g-1", 1, 0, RANKS, True
 
     def __init__(self) -> None:
         self.counts: list[int] = []
-        self.slow: dict[int, float] = {}
+        self.slow_ranks: dict[int, float] = {}
         layers = initial_map(range(RANKS), EXPERTS, LAYERS).layers
         self._held = {
             rank: tuple(
@@ -43,25 +43,25 @@
     def take_counts(self) -> list[int]:
         return self.counts
 
-    def paces(self) -> dict[int, float]:
-        return self.slow
+    def slowdowns(self) -> dict[int, float]:
+        return self.slow_ranks
 
-    def last_held(self, rank: int) -> bool:
+    def confirms_hold(self, rank: int) -> bool:
         return False
 
-    def ask_layers(self, timeout: int) -> dict[int, Any]:
+    def fetch_layers(self, timeout: int) -> dict[int, Any]:
         return {rank: held for rank, held in self._held.items() if rank}
 
     def own_layers(self) -> RankMap:
         return RankMap(0, self._held[0])
 
 
-class _Store:
+class _FakeStore:
     def put_note(self, kind: str, name: str, body: bytes) -> Note:
         return Note(name, 7, body)
 
 
-class _Changer:
+class _FakeChanger:
     def __init__(self, *_: object) -> None:
         pass
 
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def planned(monkeypatch: pytest.MonkeyPatch, clock: ManualClock) -> list[int]:
-    """Return the times at which a plan is made; none of them finds a change that pays."""
+    """Return the times of planning; the plans never find a worthwhile change."""
     times: list[int] = []
 
     def plan(layers: Sequence[Layer], *_: object) -> MapUpdate:
@@ -84,89 +84,87 @@
         return MapUpdate(tuple(layers), 1.5, 1.5)
 
     monkeypatch.setattr(_owner, "plan_map_update", plan)
-    monkeypatch.setattr(_owner, "MapChanger", _Changer)
+    monkeypatch.setattr(_owner, "MapChanger", _FakeChanger)
     return times
 
 
-def make_owner(group: _Group, clock: ManualClock) -> MapOwner:
+def make_owner(group: _FakeGroup, clock: ManualClock) -> MapOwner:
     counter = Metrics().counter("changes", "Changes.", "result")
     owner = MapOwner(
         group,  # type: ignore[arg-type]
-        _Store(),  # type: ignore[arg-type]
+        _FakeStore(),  # type: ignore[arg-type]
         "run-1",
         GEOMETRY,
         DemandStabilityEstimator(),
         counter,
         clock,
     )
-    assert owner.turn()
-    assert owner.has_taken_on
+    assert owner.tick()
+    assert owner.owns_map
     return owner
 
 
-def turn(owner: MapOwner, clock: ManualClock, turns: int) -> None:
-    for _ in range(turns):
+def tick(owner: MapOwner, clock: ManualClock, ticks: int) -> None:
+    for _ in range(ticks):
         clock.advance(100)
-        assert owner.turn()
+        assert owner.tick()
 
 
-def test_where_no_change_paid_none_is_looked_for_at_each_turn(
+def test_planning_pauses_after_no_worthwhile_change_was_found(
     planned: list[int], clock: ManualClock
 ) -> None:
-    group = _Group()
+    group = _FakeGroup()
     owner = make_owner(group, clock)
     group.counts = EVEN
-    turn(owner, clock, 45)
+    tick(owner, clock, 45)
     assert planned == [10_100, 12_200, 14_200]
 
 
-def test_a_skew_that_rises_is_looked_at_at_once(planned: list[int], clock: ManualClock) -> None:
-    group = _Group()
+def test_a_rise_in_skew_ends_the_pause(planned: list[int], clock: ManualClock) -> None:
+    group = _FakeGroup()
     owner = make_owner(group, clock)
     group.counts = EVEN
-    turn(owner, clock, 5)
+    tick(owner, clock, 5)
     assert len(planned) == 1
     group.counts = [60_000, *EVEN[1:]]
-    turn(owner, clock, 3)  # a frame with counts of before and after, and one of after
+    tick(owner, clock, 3)  # one frame with mixed counts, one with new counts
     assert len(planned) == 2
     assert owner.skew > 1.4
 
 
-def test_too_few_counts_plan_nothing(planned: list[int], clock: ManualClock) -> None:
-    group = _Group()
+def test_nothing_is_planned_from_too_few_counts(planned: list[int], clock: ManualClock) -> None:
+    group = _FakeGroup()
     owner = make_owner(group, clock)
     group.counts = [10] * (EXPERTS * LAYERS)
-    turn(owner, clock, 10)
+    tick(owner, clock, 10)
     assert planned == []
 
 
-def test_a_rank_that_turns_slow_is_looked_at_at_once(
-    planned: list[int], clock: ManualClock
-) -> None:
-    group = _Group()
+def test_a_slow_rank_ends_the_pause(planned: list[int], clock: ManualClock) -> None:
+    group = _FakeGroup()
     owner = make_owner(group, clock)
     group.counts = EVEN
-    turn(owner, clock, 5)
+    tick(owner, clock, 5)
     assert len(planned) == 1
-    group.slow = {2: 12.0}
-    turn(owner, clock, 2)
+    group.slow_ranks = {2: 12.0}
+    tick(owner, clock, 2)
     assert len(planned) == 2
     assert owner.skew == pytest.approx(12.0)
 
 
-def test_a_frame_in_which_demand_moves_plans_nothing(
+def test_nothing_is_planned_in_a_frame_with_a_demand_shift(
     planned: list[int], clock: ManualClock
 ) -> None:
-    group = _Group()
+    group = _FakeGroup()
     owner = make_owner(group, clock)
     group.counts = EVEN
-    turn(owner, clock, 20)
+    tick(owner, clock, 20)
     planned.clear()
     clock.advance(100)
     group.counts = [60_000, *EVEN[1:]]
-    assert owner.turn()  # the second half of a frame
-    turn(owner, clock, 1)
+    assert owner.tick()  # the second half of a frame
+    tick(owner, clock, 1)
     before = list(planned)
-    turn(owner, clock, 2)
+    tick(owner, clock, 2)
     assert before == []
     assert len(planned) == 1
--- a/src/canvasyoke/experts/tests/test_readings.py
+++ b/src/canvasyoke/experts/tests/test_readings.py
@@ -1,11 +1,11 @@
-"""How often each rank of a group sends its owner a reading."""
+"""Number of intervals in which each rank of a group sends one reading."""
 
 import pytest
 
-from canvasyoke.experts._rounds import reading_rounds
+from canvasyoke.experts._rounds import intervals_per_round
 
-#: Ranks of a group, numbers in a reading, and turns until all have sent one.
-ROUNDS = [
+#: Ranks in the group, counts per reading, and intervals per round.
+CASES = [
     ("a small group", 8, 384, 1),
     ("twelve ranks with few numbers", 12, 288, 1),
     ("many ranks with many numbers", 32, 1_536, 1),
@@ -16,8 +16,8 @@
 ]
 
 
-@pytest.mark.parametrize(("ranks", "numbers", "expected"), [case[1:] for case in ROUNDS])
-def test_readings_take_turns_only_where_they_are_large(
+@pytest.mark.parametrize(("ranks", "numbers", "expected"), [case[1:] for case in CASES])
+def test_only_large_readings_are_spread_over_intervals(
     ranks: int, numbers: int, expected: int
 ) -> None:
-    assert reading_rounds(ranks, numbers) == expected
+    assert intervals_per_round(ranks, numbers) == expected
--- a/src/canvasyoke/experts/tests/test_relay.py
+++ b/src/canvasyoke/experts/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A large group whose ranks are linked with their owner over one rank of each domain."""
+"""A large group whose ranks link to their owner through relays."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from canvasyoke.experts import _relay as relay_module
 from canvasyoke.experts._linked_group import LinkedGroup
-from canvasyoke.experts._looks import Looks
-from canvasyoke.experts._member import RankMember, to_reading
+from canvasyoke.experts._looks import LookupLimiter
+from canvasyoke.experts._member import RankClient, to_reading
 from canvasyoke.experts._owner_link import OwnerLink, RankNote
 from canvasyoke.experts._relay import Relay, add_counts, members_of_relay
 from canvasyoke.protocol import Message, RankOrder, RankOrders, RankReading, encode_batch
@@ -29,7 +29,7 @@
 RANKS, LAYERS, EXPERTS = 96, 16, 192
 DOMAINS = {rank: f"nbo-{'abcde'[rank % 5]}" for rank in range(RANKS)}
 
-#: Who relays for whom: rank, and relay in the group of 96 over five domains.
+#: Rank, and its relay in a group of 96 ranks over five failure domains.
 RELAYS = [
     ("the owner has no way to itself", 0, None),
     ("the standby hears the owner itself", 1, None),
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("rank", "relay"), [case[1:] for case in RELAYS])
-def test_the_first_of_each_domain_relays(rank: int, relay: int | None) -> None:
+def test_the_first_rank_of_each_domain_is_its_relay(rank: int, relay: int | None) -> None:
     assert relay_of(rank, DOMAINS) == relay
 
 
@@ -63,34 +63,34 @@
     assert behind == {None: 2, 2: 19, 21: 18, 39: 20, 59: 19, 78: 18}
 
 
-def test_a_rank_whose_domain_is_not_known_is_linked_itself() -> None:
+def test_a_rank_of_an_unknown_domain_has_no_relay() -> None:
     assert relay_of(40, {**DOMAINS, 40: ""}) is None
 
 
-class Port(RankPort):
-    """An engine that takes every order."""
+class FakeRankPort(RankPort):
+    """A rank that accepts every order."""
 
     def __init__(self, rank: int) -> None:
         self.rank = rank
-        self.taken: list[MapOrder] = []
+        self.orders: list[MapOrder] = []
 
     def report(self) -> RankReport:
-        prepared = self.taken[-1].version if self.taken else 0
+        prepared = self.orders[-1].version if self.orders else 0
         return RankReport("g", self.rank, RANKS, 1, True, 10, 0, prepared, None, 0)
 
     def counts(self) -> tuple[int, ...]:
         return ()
 
-    def map_in_force(self) -> RankMap:
+    def current_map(self) -> RankMap:
         return RankMap(0, ())
 
     def order(self, order: MapOrder) -> OrderOutcome:
-        self.taken.append(order)
+        self.orders.append(order)
         return OrderOutcome.DONE
 
 
-class Pipe:
-    """One end of a link: what is sent is handled at the other end at once."""
+class FakeSession:
+    """One end of a link that delivers messages synchronously."""
 
     closed = False
 
@@ -98,22 +98,22 @@
         self.peer = name
         self.bytes = 0
         self.sent: list[Message] = []
-        self.other: object = None
+        self.remote: object = None
 
     def send(self, message: Message) -> None:
         self.bytes += len(encode_batch([message]))
         self.sent.append(message)
-        cast(_End, self.other).handle(message)
+        cast(_Receiver, self.remote).handle(message)
 
 
-class _End:
-    """Hands messages to whoever is at the other end of a pipe."""
+class _Receiver:
+    """Passes messages to a handler."""
 
     def __init__(self, handle: Callable[[Message], None]) -> None:
         self.handle = handle
 
 
-class NoServer:
+class FakeLinkServer:
     """A link server without a socket."""
 
     def __init__(self, *_args: object) -> None:
@@ -126,15 +126,15 @@
         pass
 
 
-class LargeGroup:
-    """An owner, five relays, and the other ranks behind them, all in one process."""
+class RelayedGroup:
+    """An owner, its relays and the ranks behind them in one process."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(start=10_000)
-        self.ports = {rank: Port(rank) for rank in range(RANKS)}
-        self.members = {rank: RankMember(port) for rank, port in self.ports.items()}
+        self.ports = {rank: FakeRankPort(rank) for rank in range(RANKS)}
+        self.clients = {rank: RankClient(port) for rank, port in self.ports.items()}
         self.owner = LinkedGroup(
-            self.members[0], self.ports[0].report(), self.clock, lambda _: None
+            self.clients[0], self.ports[0].report(), self.clock, lambda _: None
         )
         self.links = {rank: self.make_link(rank) for rank in range(1, RANKS)}
         self.relays = {
@@ -142,9 +142,9 @@
             for rank in range(2, RANKS)
             if relay_of(rank, DOMAINS) == rank
         }
-        #: Pipes to the owner, with the owner's ends.
-        self.up: dict[int, Pipe] = {}
-        self.down: dict[int, Pipe] = {}
+        #: Sessions to and from the owner, or the relay, by rank.
+        self.to_owner: dict[int, FakeSession] = {}
+        self.from_owner: dict[int, FakeSession] = {}
         for rank in (1, *self.relays):
             self.link_with_owner(rank)
         for rank in range(2, RANKS):
@@ -158,8 +158,8 @@
         link = OwnerLink(
             f"side-{rank}",
             "i",
-            self.members[rank],
-            Looks(self.clock),
+            self.clients[rank],
+            LookupLimiter(self.clock),
             read_notes,
             lambda: cast(Relay, None),
             self.clock,
@@ -174,115 +174,127 @@
         return relay
 
     def link_with_owner(self, rank: int) -> None:
-        up, down = Pipe("side-0"), Pipe(f"side-{rank}")
-        up.other = _End(lambda message: self.owner.took(cast(Session, down), message))
-        down.other = _End(lambda message: self.links[rank]._took(cast(Session, up), message))
-        self.up[rank], self.down[rank] = up, down
-        self.links[rank]._session = cast(Session, up)
+        to_owner, from_owner = FakeSession("side-0"), FakeSession(f"side-{rank}")
+        to_owner.remote = _Receiver(
+            lambda message: self.owner.on_message(cast(Session, from_owner), message)
+        )
+        from_owner.remote = _Receiver(
+            lambda message: self.links[rank]._on_message(cast(Session, to_owner), message)
+        )
+        self.to_owner[rank], self.from_owner[rank] = to_owner, from_owner
+        self.links[rank]._session = cast(Session, to_owner)
 
     def link_with_relay(self, rank: int, relay: Relay) -> None:
-        up, down = Pipe("relay"), Pipe(f"side-{rank}")
-        up.other = _End(lambda message: relay.took(cast(Session, down), message))
-        down.other = _End(lambda message: self.links[rank]._took(cast(Session, up), message))
-        self.up[rank], self.down[rank] = up, down
+        to_owner, from_owner = FakeSession("relay"), FakeSession(f"side-{rank}")
+        to_owner.remote = _Receiver(
+            lambda message: relay.on_message(cast(Session, from_owner), message)
+        )
+        from_owner.remote = _Receiver(
+            lambda message: self.links[rank]._on_message(cast(Session, to_owner), message)
+        )
+        self.to_owner[rank], self.from_owner[rank] = to_owner, from_owner
 
-    def read(self, counts: Mapping[int, list[int]]) -> None:
-        """Have each rank tell what it counted, and each relay pass it on."""
+    def send_readings(self, counts: Mapping[int, list[int]]) -> None:
+        """Send every rank's reading, and have each relay forward the sums."""
         for rank in range(1, RANKS):
             if rank not in self.relays:
                 reading = to_reading(self.ports[rank].report(), counts.get(rank, []))
-                self.up[rank].send(reading)
+                self.to_owner[rank].send(reading)
         for rank, relay in self.relays.items():
             own = to_reading(self.ports[rank].report(), [])
-            relay.report(cast(Session, self.up[rank]), own, counts.get(rank, []))
+            relay.send_readings(cast(Session, self.to_owner[rank]), own, counts.get(rank, []))
 
 
 @pytest.fixture
-def group(monkeypatch: pytest.MonkeyPatch) -> LargeGroup:
-    monkeypatch.setattr(relay_module, "LinkServer", NoServer)
-    large = LargeGroup()
-    large.read({})
+def group(monkeypatch: pytest.MonkeyPatch) -> RelayedGroup:
+    monkeypatch.setattr(relay_module, "LinkServer", FakeLinkServer)
+    large = RelayedGroup()
+    large.send_readings({})
     return large
 
 
-def test_the_owner_is_linked_with_all_over_six_links(group: LargeGroup) -> None:
+def test_the_owner_reaches_all_ranks_over_six_links(group: RelayedGroup) -> None:
     assert group.owner.is_linked
     assert len(group.relays) + 1 == 6
 
 
-def test_counts_are_added_up_on_the_way(group: LargeGroup) -> None:
+def test_relays_sum_counts(group: RelayedGroup) -> None:
     counts = {rank: [rank % 7] * (LAYERS * EXPERTS) for rank in range(1, RANKS)}
     group.owner.take_counts()
-    before = sum(group.up[rank].bytes for rank in (1, *group.relays))
-    group.read(counts)
-    after = sum(group.up[rank].bytes for rank in (1, *group.relays))
+    before = sum(group.to_owner[rank].bytes for rank in (1, *group.relays))
+    group.send_readings(counts)
+    after = sum(group.to_owner[rank].bytes for rank in (1, *group.relays))
     total = sum(rank % 7 for rank in range(1, RANKS))
     assert group.owner.take_counts() == pytest.approx([total] * (LAYERS * EXPERTS), rel=0.05)
-    # Statuses of 95 ranks and six sums; 95 readings of their own were 170 KB.
+    # Only statuses of 95 ranks and six sums are sent, no counts of single ranks.
     assert after - before < 20_000
 
 
-def test_an_order_reaches_every_rank_once_and_each_answers(group: LargeGroup) -> None:
+def test_an_order_reaches_every_rank_once_and_each_answers(group: RelayedGroup) -> None:
     layers = tuple(
         tuple(tuple(e for e in range(EXPERTS) if e % RANKS == rank) for _ in range(LAYERS))
         for rank in range(RANKS)
     )
     order = MapOrder(MapOrderKind.PREPARE, 5, 1, 3, layers_by_rank=layers)
-    before = sum(pipe.bytes for rank, pipe in group.down.items() if rank in (1, *group.relays))
-    given = group.owner.give(dict.fromkeys(range(RANKS), order), timeout=50)
-    after = sum(pipe.bytes for rank, pipe in group.down.items() if rank in (1, *group.relays))
-    assert {o.outcome for o in given.values()} == {OrderOutcome.DONE}
-    assert {o.report.prepared for o in given.values() if o.report is not None} == {3}
+    before = sum(
+        session.bytes for rank, session in group.from_owner.items() if rank in (1, *group.relays)
+    )
+    results = group.owner.send_orders(dict.fromkeys(range(RANKS), order), timeout=50)
+    after = sum(
+        session.bytes for rank, session in group.from_owner.items() if rank in (1, *group.relays)
+    )
+    assert {o.outcome for o in results.values()} == {OrderOutcome.DONE}
+    assert {o.report.prepared for o in results.values() if o.report is not None} == {3}
     for port in group.ports.values():
-        assert [taken.version for taken in port.taken] == [3]
-        assert port.taken[0].layers_by_rank == layers
-    # The map goes over six links, not 95: 10 KB where it was 0.6 MB unpacked.
+        assert [received.version for received in port.orders] == [3]
+        assert port.orders[0].layers_by_rank == layers
+    # The map is sent over six links instead of 95.
     assert after - before < 12_000
 
 
-def test_orders_of_one_domain_share_one_message(group: LargeGroup) -> None:
+def test_orders_of_one_domain_share_one_message(group: RelayedGroup) -> None:
     relay = next(iter(group.relays))
-    group.down[relay].sent.clear()
-    group.owner.ask(timeout=50)
-    sent = group.down[relay].sent
+    group.from_owner[relay].sent.clear()
+    group.owner.fetch_reports(timeout=50)
+    sent = group.from_owner[relay].sent
     assert len(sent) == 1
     assert isinstance(sent[0], RankOrders)
     assert {DOMAINS[order.rank] for order in sent[0].orders} == {DOMAINS[relay]}
 
 
-def test_the_owner_hears_when_a_rank_is_lost_behind_a_relay(group: LargeGroup) -> None:
+def test_a_relay_reports_a_lost_rank_to_the_owner(group: RelayedGroup) -> None:
     lost = 12
     relay = group.relays[cast(int, relay_of(lost, DOMAINS))]
-    relay.closed(cast(Session, group.down[lost]))
+    relay.on_closed(cast(Session, group.from_owner[lost]))
     assert not group.owner.is_linked
-    given = group.owner.give({lost: MapOrder(MapOrderKind.DISARM, 9, 1, 1)}, timeout=0)
-    assert given[lost].outcome is OrderOutcome.UNKNOWN
-    assert not group.ports[lost].taken
+    results = group.owner.send_orders({lost: MapOrder(MapOrderKind.DISARM, 9, 1, 1)}, timeout=0)
+    assert results[lost].outcome is OrderOutcome.UNKNOWN
+    assert not group.ports[lost].orders
 
 
-def test_a_lost_rank_that_has_another_way_by_now_stays_linked(group: LargeGroup) -> None:
+def test_a_rank_that_was_linked_otherwise_is_not_lost(group: RelayedGroup) -> None:
     lost = 12
     relay = group.relays[cast(int, relay_of(lost, DOMAINS))]
     group.link_with_owner(lost)
-    group.up[lost].send(to_reading(group.ports[lost].report(), []))
-    relay.closed(cast(Session, group.down[lost]))
+    group.to_owner[lost].send(to_reading(group.ports[lost].report(), []))
+    relay.on_closed(cast(Session, group.from_owner[lost]))
     assert group.owner.is_linked
 
 
-def test_an_order_for_a_rank_that_the_relay_lacks_is_not_answered(group: LargeGroup) -> None:
+def test_a_relay_does_not_forward_orders_for_unlinked_ranks(group: RelayedGroup) -> None:
     relay = group.relays[2]
-    assert not relay.order(RankOrder(1, "read", 0, 1, rank=95))
+    assert not relay.forward_order(RankOrder(1, "read", 0, 1, rank=95))
 
 
 @pytest.mark.parametrize(
     ("one", "other", "total"),
     [([], [], []), ([1], [], [1]), ([], [2], [2]), ([1, 2], [3, 4], [4, 6]), ([1], [3, 4], [3, 4])],
 )
-def test_sums_of_readings(one: list[int], other: list[int], total: list[int]) -> None:
+def test_add_counts(one: list[int], other: list[int], total: list[int]) -> None:
     assert add_counts(one, other) == total
 
 
-def test_a_relayed_reading_keeps_what_the_rank_said(group: LargeGroup) -> None:
+def test_a_relayed_reading_keeps_the_ranks_status(group: RelayedGroup) -> None:
     said = group.ports[17].report()
     reading = group.owner._links[17].reading
     assert isinstance(reading, RankReading)
--- a/src/canvasyoke/experts/tests/test_standby.py
+++ b/src/canvasyoke/experts/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""What a silent owner has left behind is ended, and nothing else is touched."""
+"""The standby recovers changes of an unresponsive owner and does nothing else."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from canvasyoke.experts import MapOrder, MapOrderKind, OrderOutcome, RankReport
 from canvasyoke.experts._change import MapChanger
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
-from canvasyoke.experts._fences import Fences, take_fences
+from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.experts._group import NewMap
-from canvasyoke.experts._member import RankMember
-from canvasyoke.experts._standby import Standby, StandbyTurn
-from canvasyoke.experts.tests.group_model import ModelGroup, OwnerDied, World
+from canvasyoke.experts._member import RankClient
+from canvasyoke.experts._standby import Standby, StandbyOutcome
+from canvasyoke.experts.tests.group_model import GroupModel, ModelRankGroup, OwnerDiedError
 from canvasyoke.observe import Metrics
 from canvasyoke.platform import ObjectsFleetStore
 from fakes.object_store import ObjectStore, StoreDoor
@@ -25,34 +25,34 @@
 SHORT = 100
 
 
-class _OwnerRank(RankMember):
-    """Rank 0 of a model, as its engine is reached."""
+class _OwnerClient(RankClient):
+    """Client of rank 0 of a model."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, model: GroupModel) -> None:
+        self._world = model
 
     def report(self) -> RankReport | None:
         return self._world.report(self._world.ranks[0])
 
 
 @dataclass
-class Scene:
-    """A group whose owner may stand still, the store, and the standby."""
+class Scenario:
+    """A group, the store and the standby."""
 
-    world: World
+    model: GroupModel
     door: StoreDoor
     store: ObjectsFleetStore
     standby: Standby
 
-    def owner(self) -> tuple[MapChanger, Fences]:
-        fences = take_fences(self.store, "g", "owner", 1)
-        assert isinstance(fences, Fences)
-        pause = lambda _seconds: self.world.pass_time()  # noqa: E731
-        group = ModelGroup(self.world)
-        return MapChanger(group, 1, fences, self.world.clock, pause), fences
+    def owner(self) -> tuple[MapChanger, FenceSequence]:
+        fences = allocate_fences(self.store, "g", "owner", 1)
+        assert isinstance(fences, FenceSequence)
+        pause = lambda _seconds: self.model.advance()  # noqa: E731
+        group = ModelRankGroup(self.model)
+        return MapChanger(group, 1, fences, self.model.clock, pause), fences
 
-    def turn(self, silence: int) -> StandbyTurn:
-        return self.standby.turn(self.world.report(self.world.ranks[1]), silence)
+    def check(self, silence: int) -> StandbyOutcome:
+        return self.standby.check(self.model.report(self.model.ranks[1]), silence)
 
 
 @pytest.fixture(scope="module")
@@ -63,99 +63,99 @@
 
 
 @pytest.fixture
-def scene(door: StoreDoor) -> Scene:
-    world = World(4, random.Random(5), busy=0.0)
+def scenario(door: StoreDoor) -> Scenario:
+    model = GroupModel(4, random.Random(5), step_rate=0.0)
     store = ObjectsFleetStore(door.address)
     standby = Standby(
-        world.report(world.ranks[1]),
-        lambda: _OwnerRank(world),
-        lambda: ModelGroup(world, own_rank=1),
+        model.report(model.ranks[1]),
+        lambda: _OwnerClient(model),
+        lambda: ModelRankGroup(model, own_rank=1),
         store,
         "standby",
         Metrics().counter("changes", "", "result"),
-        world.clock,
+        model.clock,
     )
-    return Scene(world, door, store, standby)
+    return Scenario(model, door, store, standby)
 
 
-def hold(scene: Scene) -> None:
-    """Leave the group held as an owner does that stops between two orders."""
-    _, fences = scene.owner()
-    order = MapOrder(MapOrderKind.HOLD, fences.next(), 1, step=scene.world.step + 1)
-    assert scene.world.ranks[HOLD_RANK].take(order, scene.world.step) is OrderOutcome.DONE
+def hold(scenario: Scenario) -> None:
+    """Place a hold as an owner does that dies before the next order."""
+    _, fences = scenario.owner()
+    order = MapOrder(MapOrderKind.HOLD, fences.next(), 1, step=scenario.model.step + 1)
+    assert scenario.model.ranks[HOLD_RANK].apply(order, scenario.model.step) is OrderOutcome.DONE
 
 
-def test_a_hold_left_behind_is_released(scene: Scene) -> None:
-    hold(scene)
-    scene.world.begin_step()
-    assert scene.world.step == 0
-    assert scene.turn(LONG) is StandbyTurn.ENDED
-    scene.world.begin_step()
-    assert scene.world.step == 1
+def test_a_hold_of_an_unresponsive_owner_is_released(scenario: Scenario) -> None:
+    hold(scenario)
+    scenario.model.begin_step()
+    assert scenario.model.step == 0
+    assert scenario.check(LONG) is StandbyOutcome.ENDED
+    scenario.model.begin_step()
+    assert scenario.model.step == 1
 
 
 @pytest.mark.parametrize("seed", range(100))
-def test_whatever_point_the_owner_stops_at(scene: Scene, seed: int) -> None:
-    scene.world.rng = random.Random(seed)
-    changer, fences = scene.owner()
-    scene.world.busy, scene.world.death = 0.3, 0.08
-    with contextlib.suppress(OwnerDied):
+def test_recovery_from_an_owner_that_stops_at_any_order(scenario: Scenario, seed: int) -> None:
+    scenario.model.rng = random.Random(seed)
+    changer, fences = scenario.owner()
+    scenario.model.step_rate, scenario.model.death_rate = 0.3, 0.08
+    with contextlib.suppress(OwnerDiedError):
         changer.change(NewMap(fences.next(), ((),), copy_time=0))
-    scene.world.death = 0.0
+    scenario.model.death_rate = 0.0
     for _ in range(10):
-        scene.turn(LONG)
-    assert not any(rank.held_step for rank in scene.world.ranks)
-    before = scene.world.step
+        scenario.check(LONG)
+    assert not any(rank.held_step for rank in scenario.model.ranks)
+    before = scenario.model.step
     for _ in range(12):
-        scene.world.begin_step()
-    assert scene.world.step == before + 12
+        scenario.model.begin_step()
+    assert scenario.model.step == before + 12
 
 
-def test_an_owner_that_comes_back_is_turned_away_and_takes_the_group_on_anew(
-    scene: Scene,
+def test_an_owner_that_resumes_is_fenced_and_takes_ownership_again(
+    scenario: Scenario,
 ) -> None:
-    old, fences = scene.owner()
-    hold(scene)
-    assert scene.turn(LONG) is StandbyTurn.ENDED
+    old, fences = scenario.owner()
+    hold(scenario)
+    assert scenario.check(LONG) is StandbyOutcome.ENDED
     assert old.change(NewMap(fences.next(), ((),), copy_time=0)) is ChangeResult.REPLACED
-    new, fences = scene.owner()
-    scene.world.busy = 0.5
+    new, fences = scenario.owner()
+    scenario.model.step_rate = 0.5
     assert new.change(NewMap(fences.next(), ((),), copy_time=0)) is ChangeResult.IN_FORCE
 
 
-def test_an_owner_heard_of_lately_is_left_alone(scene: Scene) -> None:
-    hold(scene)
-    assert scene.turn(SHORT) is StandbyTurn.OWNER_ALIVE
-    assert scene.world.ranks[HOLD_RANK].held_step
+def test_a_responsive_owner_is_left_alone(scenario: Scenario) -> None:
+    hold(scenario)
+    assert scenario.check(SHORT) is StandbyOutcome.OWNER_ALIVE
+    assert scenario.model.ranks[HOLD_RANK].held_step
 
 
-def test_a_group_without_a_change_under_way_is_left_alone(scene: Scene) -> None:
-    assert scene.turn(LONG) is StandbyTurn.NOTHING_LEFT
-    assert {rank.fence for rank in scene.world.ranks} == {0}
+def test_a_group_without_a_change_in_progress_is_left_alone(scenario: Scenario) -> None:
+    assert scenario.check(LONG) is StandbyOutcome.NOTHING_LEFT
+    assert {rank.fence for rank in scenario.model.ranks} == {0}
 
 
-def test_without_the_store_it_tries_again(scene: Scene) -> None:
-    hold(scene)
-    scene.door.faults.status = 503
-    assert scene.turn(LONG) is StandbyTurn.NO_FENCE
-    scene.door.faults.status = 0
-    assert scene.turn(LONG) is StandbyTurn.ENDED
+def test_recovery_is_retried_while_the_store_is_unavailable(scenario: Scenario) -> None:
+    hold(scenario)
+    scenario.door.faults.status = 503
+    assert scenario.check(LONG) is StandbyOutcome.NO_FENCE
+    scenario.door.faults.status = 0
+    assert scenario.check(LONG) is StandbyOutcome.ENDED
 
 
-def test_a_complete_change_is_left_to_happen_and_looked_at_once(scene: Scene) -> None:
-    changer, fences = scene.owner()
+def test_a_complete_change_is_kept_and_recovered_only_once(scenario: Scenario) -> None:
+    changer, fences = scenario.owner()
     new = NewMap(fences.next(), ((),), copy_time=0)
     assert changer.change(new) is ChangeResult.IN_FORCE
-    assert scene.turn(LONG) is StandbyTurn.ENDED
-    assert scene.turn(LONG) is StandbyTurn.NOTHING_LEFT
+    assert scenario.check(LONG) is StandbyOutcome.ENDED
+    assert scenario.check(LONG) is StandbyOutcome.NOTHING_LEFT
     for _ in range(10):
-        scene.world.begin_step()
-    assert {rank.map_version for rank in scene.world.ranks} == {new.version}
+        scenario.model.begin_step()
+    assert {rank.map_version for rank in scenario.model.ranks} == {new.version}
 
 
-def test_a_process_that_takes_a_group_on_twice_gets_higher_fences(scene: Scene) -> None:
-    first = take_fences(scene.store, "g", "same", 1)
-    second = take_fences(scene.store, "g", "same", 1)
-    assert isinstance(first, Fences)
-    assert isinstance(second, Fences)
+def test_taking_ownership_twice_gives_higher_fences(scenario: Scenario) -> None:
+    first = allocate_fences(scenario.store, "g", "same", 1)
+    second = allocate_fences(scenario.store, "g", "same", 1)
+    assert isinstance(first, FenceSequence)
+    assert isinstance(second, FenceSequence)
     assert second.base > first.base
--- a/src/canvasyoke/platform/_engine.py
+++ b/src/canvasyoke/platform/_engine.py
@@ -114,7 +114,7 @@
     def pace_of(self, endpoint: Endpoint) -> float | None:
         """Ask the engine; a plain service does not tell."""
         report = ObjectsRankPort(endpoint.address).report()
-        return report.pace if isinstance(report, RankReport) else None
+        return report.slowdown if isinstance(report, RankReport) else None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
         """Ask the engine; a plain service has no report and no group."""
--- a/src/canvasyoke/platform/_ranks.py
+++ b/src/canvasyoke/platform/_ranks.py
@@ -9,8 +9,8 @@
 
 from canvasyoke._clock import SECOND
 from canvasyoke.experts import (
-    FAR_TIMEOUT,
     RANK_PORTS,
+    REMOTE_TIMEOUT,
     Armed,
     MapOrder,
     MapOrderKind,
@@ -83,7 +83,7 @@
 class ObjectsRankPort(RankPort):
     """One engine, over connections that are kept: engines count new ones."""
 
-    def __init__(self, address: str, timeout: int = FAR_TIMEOUT) -> None:
+    def __init__(self, address: str, timeout: int = REMOTE_TIMEOUT) -> None:
         host, port = address.rsplit(":", 1)
         self._pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=2, retries=False, timeout=timeout / SECOND
@@ -107,7 +107,7 @@
             prepared=seen.prepared or 0,
             armed=Armed(seen.armed.version, seen.armed.step) if seen.armed else None,
             held_step=seen.held_step or 0,
-            pace=max(1.0, seen.pace or 1.0),
+            slowdown=max(1.0, seen.pace or 1.0),
         )
 
     def counts(self) -> tuple[int, ...] | RankUnreachable:
@@ -115,7 +115,7 @@
         seen = self._get("/picked", _Counts)
         return seen if isinstance(seen, RankUnreachable) else tuple(seen.counts)
 
-    def map_in_force(self) -> RankMap | RankUnreachable:
+    def current_map(self) -> RankMap | RankUnreachable:
         """Return what the rank holds."""
         seen = self._get("/picked?lists=1", _Lists)
         if isinstance(seen, RankUnreachable):
--- a/src/canvasyoke/platform/tests/test_store_eras.py
+++ b/src/canvasyoke/platform/tests/test_store_eras.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from canvasyoke.experts._fences import Fences, take_fences
+from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.platform._store import ObjectsFleetStore
 from canvasyoke.state import (
     EndpointChanges,
@@ -142,8 +142,8 @@
         for number in range(30 - era * 10):
             store.put("others", f"o-{number}", [era, number])
         for incarnation in ("a", "b"):
-            taken = take_fences(client, "g-1", incarnation, 1)
-            assert isinstance(taken, Fences)
+            taken = allocate_fences(client, "g-1", incarnation, 1)
+            assert isinstance(taken, FenceSequence)
             bases.append(taken.base)
         store.return_from(older)
     assert bases == sorted(set(bases))
