--- a/src/canvasyoke/experts/_far_group.py
+++ b/src/canvasyoke/experts/_direct_group.py
@@ -11,7 +11,7 @@
 from typing import Final, TypeVar
 
 from canvasyoke.experts._group import OrderResult, RankGroup
-from canvasyoke.experts._member import RankClient
+from canvasyoke.experts._rank_client import RankClient
 from canvasyoke.experts._rank_port import MapOrder, OrderOutcome, RankReport
 
 ResultT = TypeVar("ResultT")
--- a/src/canvasyoke/experts/_linked_group.py
+++ b/src/canvasyoke/experts/_linked_group.py
@@ -12,14 +12,14 @@
 
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.experts._group import OrderResult, RankGroup
-from canvasyoke.experts._member import (
+from canvasyoke.experts._packing import PackingError, pack_layers, unpack_counts
+from canvasyoke.experts._rank_client import (
     READ,
     READ_LAYERS,
     RankClient,
     encode_order,
     from_reading,
 )
-from canvasyoke.experts._packing import PackingError, pack_layers, unpack_counts
 from canvasyoke.experts._rank_port import MapOrder, OrderOutcome, RankLayers, RankMap, RankReport
 from canvasyoke.experts._relay import add_counts
 from canvasyoke.observe import part_logger
--- a/src/canvasyoke/experts/_owner.py
+++ b/src/canvasyoke/experts/_owner.py
@@ -29,8 +29,8 @@
 from canvasyoke.experts._group import NewMap
 from canvasyoke.experts._linked_group import LinkedGroup
 from canvasyoke.experts._rank_port import RankLayers, RankReport
+from canvasyoke.experts._reading_schedule import READ_INTERVAL, intervals_per_round
 from canvasyoke.experts._relay import ranks_sharing_link
-from canvasyoke.experts._rounds import READ_INTERVAL, intervals_per_round
 from canvasyoke.observe import Counter, part_logger
 from canvasyoke.state import FleetStore, RankGeometry, Unavailable, Unusable
 
--- a/src/canvasyoke/experts/_owner_link.py
+++ b/src/canvasyoke/experts/_owner_link.py
@@ -10,11 +10,11 @@
 
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.experts._change_types import OWNER_RANK
-from canvasyoke.experts._looks import LookupLimiter
-from canvasyoke.experts._member import RankClient, to_reading
+from canvasyoke.experts._lookup_limiter import LookupLimiter
+from canvasyoke.experts._rank_client import RankClient, to_reading
 from canvasyoke.experts._rank_port import RankReport
+from canvasyoke.experts._reading_schedule import intervals_per_round
 from canvasyoke.experts._relay import MAX_DIRECT_RANKS, Relay, members_of_relay
-from canvasyoke.experts._rounds import intervals_per_round
 from canvasyoke.experts._standby import STANDBY_RANK
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import Message, RankOrder, RankOrders
--- a/src/canvasyoke/experts/_process.py
+++ b/src/canvasyoke/experts/_process.py
@@ -14,26 +14,26 @@
 from canvasyoke._clock import SECOND, Clock, SystemClock
 from canvasyoke.coordination import DemandStabilityEstimator
 from canvasyoke.experts._change_types import OWNER_RANK
-from canvasyoke.experts._far_group import DirectGroup
+from canvasyoke.experts._direct_group import DirectGroup
 from canvasyoke.experts._linked_group import LinkedGroup
-from canvasyoke.experts._looks import LookupLimiter
-from canvasyoke.experts._member import RankClient
+from canvasyoke.experts._lookup_limiter import LookupLimiter
 from canvasyoke.experts._note_keeper import NoteKeeper
 from canvasyoke.experts._owner import MapOwner
 from canvasyoke.experts._owner_link import OwnerLink, RankNote
+from canvasyoke.experts._rank_client import RankClient
 from canvasyoke.experts._rank_port import (
     LOCAL_TIMEOUT,
     RANK_PORTS,
     REMOTE_TIMEOUT,
     RankReport,
 )
-from canvasyoke.experts._relay import Relay
-from canvasyoke.experts._rounds import (
+from canvasyoke.experts._reading_schedule import (
     OWNER_READ_OFFSET,
     READ_INTERVAL,
     RELAY_READ_OFFSET,
     time_until_next,
 )
+from canvasyoke.experts._relay import Relay
 from canvasyoke.experts._standby import STANDBY_RANK, Standby
 from canvasyoke.observe import Metrics, part_logger
 from canvasyoke.protocol import Message
--- a/src/canvasyoke/experts/_standby.py
+++ b/src/canvasyoke/experts/_standby.py
@@ -18,7 +18,7 @@
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
 from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.experts._group import RankGroup
-from canvasyoke.experts._member import RankClient
+from canvasyoke.experts._rank_client import RankClient
 from canvasyoke.experts._rank_port import Armed, RankReport
 from canvasyoke.observe import Counter, part_logger
 from canvasyoke.state import FleetStore, Unavailable, Unusable
--- a/src/canvasyoke/experts/tests/test_looks.py
+++ b/src/canvasyoke/experts/tests/test_lookup_limiter.py
@@ -1,7 +1,7 @@
 """Rate limit for lookups in the store."""
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.experts._looks import LookupLimiter
+from canvasyoke.experts._lookup_limiter import LookupLimiter
 
 
 def test_a_burst_of_three_is_followed_by_one_a_second() -> None:
--- a/src/canvasyoke/experts/tests/test_packing.py
+++ b/src/canvasyoke/experts/tests/test_packing.py
@@ -13,7 +13,6 @@
 from canvasyoke.experts import MapOrder, MapOrderKind, OrderOutcome, RankPort, RankReport
 from canvasyoke.experts import _linked_group as linked_group_module
 from canvasyoke.experts._linked_group import LinkedGroup
-from canvasyoke.experts._member import RankClient, to_reading
 from canvasyoke.experts._packing import (
     PackingError,
     pack_counts,
@@ -21,6 +20,7 @@
     unpack_counts,
     unpack_layers,
 )
+from canvasyoke.experts._rank_client import RankClient, to_reading
 from canvasyoke.experts._rank_port import RankLayers
 from canvasyoke.protocol import Message, RankOrder, encode_batch
 from canvasyoke.transport import Session
--- a/src/canvasyoke/experts/tests/test_readings.py
+++ b/src/canvasyoke/experts/tests/test_reading_schedule.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from canvasyoke.experts._rounds import intervals_per_round
+from canvasyoke.experts._reading_schedule import intervals_per_round
 
 #: Ranks in the group, counts per reading, and intervals per round.
 CASES = [
--- a/src/canvasyoke/experts/tests/test_standby.py
+++ b/src/canvasyoke/experts/tests/test_standby.py
@@ -14,7 +14,7 @@
 from canvasyoke.experts._change_types import HOLD_RANK, ChangeResult
 from canvasyoke.experts._fences import FenceSequence, allocate_fences
 from canvasyoke.experts._group import NewMap
-from canvasyoke.experts._member import RankClient
+from canvasyoke.experts._rank_client import RankClient
 from canvasyoke.experts._standby import Standby, StandbyOutcome
 from canvasyoke.experts.tests.group_model import GroupModel, ModelRankGroup, OwnerDiedError
 from canvasyoke.observe import Metrics
