--- a/src/canvasyoke/experts/tests/test_packing.py
+++ b/src/canvasyoke/experts/tests/test_packing.py
@@ -102,10 +102,10 @@
 
 #: Mean count per expert, maximum packed size in bytes, and maximum quantization step.
 READINGS = [
-    ("one turn of a rank with little to do", 1.5, 1_200, 1),
-    ("one turn of a busy rank", 31.0, 2_000, 4),
-    ("the ranks of a domain together", 600.0, 2_600, 16),
-    ("a minute of them", 180_000.0, 6_000, 256),
+    ("one interval of an almost idle rank", 1.5, 1_200, 1),
+    ("one interval of a busy rank", 31.0, 2_000, 4),
+    ("sum of a domain's ranks", 600.0, 2_600, 16),
+    ("sum over a minute", 180_000.0, 6_000, 256),
 ]
 
 
@@ -128,10 +128,10 @@
 
 
 BROKEN = [
-    ("not packed", b"\x00\x01"),
-    ("cut short", pack_counts([1] * 500)[:-3]),
-    ("not figures", zlib.compress(b"\xa1x")),
-    ("far too many", zlib.compress(bytes(2_000_000))),
+    ("not compressed", b"\x00\x01"),
+    ("truncated", pack_counts([1] * 500)[:-3]),
+    ("not a list of integers", zlib.compress(b"\xa1x")),
+    ("too large when decompressed", zlib.compress(bytes(2_000_000))),
 ]
 
 
--- a/src/canvasyoke/experts/tests/test_relay.py
+++ b/src/canvasyoke/experts/tests/test_relay.py
@@ -31,12 +31,12 @@
 
 #: Rank, and its relay in a group of 96 ranks over five failure domains.
 RELAYS = [
-    ("the owner has no way to itself", 0, None),
-    ("the standby hears the owner itself", 1, None),
-    ("the first of a domain relays", 2, 2),
-    ("and so does that of the owner's domain", 5, 5),
-    ("the others go over it", 10, 5),
-    ("in each domain", 94, 4),
+    ("the owner", 0, None),
+    ("the standby", 1, None),
+    ("first rank of a domain", 2, 2),
+    ("first eligible rank of the owner's domain", 5, 5),
+    ("another rank of that domain", 10, 5),
+    ("last rank of another domain", 94, 4),
 ]
 
 
