--- /dev/null
+++ b/src/canvasyoke/direct/_backend_availability.py
@@ -0,0 +1,139 @@
+"""Availability of backends, from their own notices and from observation."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from canvasyoke.backend import BackendNotice
+from canvasyoke.direct._backend_limits import Share
+from canvasyoke.direct._backend_notices import NoticeChange, SharedNotice
+from canvasyoke.direct._backend_streams import BackendStreams
+from canvasyoke.direct._member import Member
+from canvasyoke.direct._pass_over import unavailability
+from canvasyoke.state import Endpoint, EndpointState
+
+
+@dataclass(slots=True)
+class BackendAvailability(BackendStreams):
+    """Backend records with the notices that backends send about themselves."""
+
+    def record_notice(self, endpoint: Endpoint, notice: BackendNotice) -> NoticeChange:
+        """Apply the notice in a backend's response, whatever the outcome of the request."""
+        with self._lock:
+            member = self._members.get(endpoint.run)
+            if member is not None and notice.load is not None:
+                # The reported load may or may not include the request being answered.
+                total = notice.load.running + notice.load.waiting
+                member.peer_requests = max(0, total - member.own_requests)
+                member.reported_at = self.clock.now()
+            return self._words.apply(endpoint, notice)
+
+    def merge_peer_notice(self, notice: SharedNotice) -> bool:
+        """Apply a backend's notice relayed by another entry; return whether it is new."""
+        with self._lock:
+            return self._words.apply_shared(notice)
+
+    def notices_to_share(self) -> list[SharedNotice]:
+        """Return the notices of listed backends that are still in force."""
+        with self._lock:
+            notices = (self._words.to_share(m.endpoint) for m in self._members.values())
+            return [notice for notice in notices if notice is not None]
+
+    def set_share(self, share: Callable[[str], Share]) -> None:
+        """Set the function that returns this entry's share of rate limits, by service."""
+        with self._lock:
+            self._words.limits.share = share
+
+    @property
+    def has_limits(self) -> bool:
+        """Return whether any backend has a rate limit."""
+        with self._lock:
+            return self._words.limits.has_any
+
+    def services(self) -> frozenset[str]:
+        """Return the services of all known backends."""
+        with self._lock:
+            return frozenset(member.endpoint.service for member in self._members.values())
+
+    def may_send(self, endpoint: Endpoint) -> bool:
+        """Return whether a chosen backend may still be sent its request.
+
+        It may have asked for backoff, left the list or restarted while the connection was made.
+        """
+        with self._lock:
+            member = self._members.get(endpoint.run)
+            if member is None or member.endpoint.address != endpoint.address:
+                return False
+            # The rate limit is not checked: the request has taken its token already.
+            return not self._is_leaving(member) and not self._words.remaining_backoff(endpoint)
+
+    def time_until_available(self, service: str) -> int:
+        """Return the milliseconds until a backend of a service is available.
+
+        Returns 0 if one is available now, or if none is listed except leaving ones.
+        """
+        with self._lock:
+            found = [
+                unavailability(self._evidence, member)
+                for member in self._members.values()
+                if member.endpoint.service == service and not self._is_leaving(member)
+            ]
+            return min((each.retry_after if each else 0 for each in found), default=0)
+
+    def rate_limit_share(self, service: str) -> float:
+        """Return this entry's requests per second to a service's rate-limited backends."""
+        with self._lock:
+            return sum(
+                self._words.limit_share(member.endpoint)
+                for member in self._members.values()
+                if member.endpoint.service == service and not self._is_leaving(member)
+            )
+
+    def has_alternative(self, service: str, tried: frozenset[str]) -> bool:
+        """Return whether a service has an available backend that was not tried."""
+        with self._lock:
+            return any(
+                member.endpoint.service == service
+                and member.endpoint.run not in tried
+                and self._takes_requests(member)
+                for member in self._members.values()
+            )
+
+    def is_ready(self, run: str) -> bool:
+        """Return whether a run is listed and not leaving."""
+        with self._lock:
+            member = self._members.get(run)
+            return member is not None and not self._is_leaving(member)
+
+    @property
+    def backing_off_count(self) -> int:
+        """Return the number of backends that asked this entry for backoff."""
+        with self._lock:
+            return self._words.count_backing_off(
+                member.endpoint for member in self._members.values()
+            )
+
+    @property
+    def rate_limited_count(self) -> int:
+        """Return the number of backends that have a rate limit."""
+        with self._lock:
+            return sum(1 for m in self._members.values() if self._words.limit_share(m.endpoint) > 0)
+
+    @property
+    def leaving_count(self) -> int:
+        """Return the number of backends that announced that they are leaving."""
+        with self._lock:
+            return self._words.count_leaving(member.endpoint for member in self._members.values())
+
+    def _takes_requests(self, member: Member) -> bool:
+        return not self._is_leaving(member) and not unavailability(self._evidence, member)
+
+    def _is_leaving(self, member: Member) -> bool:
+        """Return whether a run is leaving, according to the store or to its own notice.
+
+        Its own notice takes precedence until the run ends, since the store may be outdated.
+        """
+        if member.endpoint.state is EndpointState.LEAVING:
+            return True
+        return self._words.is_leaving(member.endpoint)
--- /dev/null
+++ b/src/canvasyoke/direct/_crash_detector.py
@@ -0,0 +1,76 @@
+"""Detects whether a backend process has ended after an exchange with it failed.
+
+A connection may fail because of a reset, a lost response, or the loss of another rank of the group.
+Only the end of the process itself closes its listening port, so a TCP connection is tried to
+distinguish the cases.
+"""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Callable
+from typing import Final
+
+from canvasyoke.direct._call import DirectCall
+from canvasyoke.direct._metrics import DirectMetrics
+from canvasyoke.direct._roster import Roster
+from canvasyoke.observe import part_logger
+from canvasyoke.state import Endpoint
+from canvasyoke.transport import Reach, reach
+
+_log = part_logger("breaks")
+#: Connect timeout of the probe in milliseconds. A retry of the request waits for it.
+_PROBE_TIMEOUT: Final = 30
+
+
+class BackendLiveness(enum.StrEnum):
+    """State of a backend after a failed exchange."""
+
+    #: Its port refuses connections, and it had not announced that it would leave.
+    ENDED = "ended"
+    #: Its port accepts connections.
+    LISTENS = "listens"
+    #: It was leaving, or was no longer listed.
+    LEAVING = "leaving"
+    #: The probe timed out.
+    UNKNOWN = "unknown"
+
+
+_LIVENESS_BY_REACH: Final = {
+    Reach.LISTENING: BackendLiveness.LISTENS,
+    Reach.REFUSED: BackendLiveness.ENDED,
+    Reach.SILENT: BackendLiveness.UNKNOWN,
+}
+
+
+class CrashDetector:
+    """Probes the backend of each exchange that failed."""
+
+    def __init__(
+        self,
+        roster: Roster,
+        metrics: DirectMetrics,
+        probe_port: Callable[[str, int], Reach] = reach,
+    ) -> None:
+        self._roster = roster
+        self._metrics = metrics
+        self._probe_port = probe_port
+
+    def check(self, call: DirectCall, endpoint: Endpoint, detail: str) -> BackendLiveness:
+        """Return the state of the backend that ``call`` was sent to, and log it."""
+        liveness = self._check_port(endpoint)
+        self._metrics.exchange_failed(liveness)
+        _log.warning(
+            "exchange broke",
+            request_id=call.request_id,
+            fingerprint=call.fingerprint,
+            backend=endpoint.run,
+            fate=liveness.value,
+            detail=detail,
+        )
+        return liveness
+
+    def _check_port(self, endpoint: Endpoint) -> BackendLiveness:
+        if not self._roster.is_ready(endpoint.run):
+            return BackendLiveness.LEAVING
+        return _LIVENESS_BY_REACH[self._probe_port(endpoint.address, _PROBE_TIMEOUT)]
