--- a/src/canvasyoke/entry/__init__.py
+++ b/src/canvasyoke/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: takes callers' HTTP and holds each request until its answer is whole."""
+"""The entry role: accepts HTTP requests from callers and relays each to a target."""
 
 from canvasyoke.entry._process import EntryProcess
 
--- a/src/canvasyoke/entry/_dispatch.py
+++ b/src/canvasyoke/entry/_dispatch.py
@@ -1,4 +1,4 @@
-"""Takes one request to a whole answer or to one final refusal."""
+"""Dispatches requests to targets, with retries, redirects and resumption of partial responses."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     RouteRequest,
     decide_retry,
 )
-from canvasyoke.entry._lines import Lines
-from canvasyoke.entry._peer import Attempt, Event, Events, Lost, Peer
-from canvasyoke.entry._peers import Peers
+from canvasyoke.entry._lines import AttemptGroup
+from canvasyoke.entry._peer import Attempt, AttemptLost, Event, Events, TargetClient
+from canvasyoke.entry._peers import TargetPool
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     Chunk,
@@ -39,117 +39,123 @@
 )
 
 _log = part_logger("dispatch")
-#: Milliseconds a target gets past the deadline to say what became of a request.
-_CONFIRM: Final = 300
-#: Milliseconds a broken link gets to come back before an attempt is given up:
-#: short when another target can take over, longer when nothing else may.
-_RESUME_REPEATABLE: Final = 300
-_RESUME_ONCE: Final = 3 * SECOND
-#: Lines in which a request that has to wait stands at once.
-_LINES: Final = 4
-#: Milliseconds between looks at whether the caller and the link are still there.
-_LOOK: Final = 200
-#: Milliseconds between looks for a target when none can be had at once.
-_PAUSE: Final = 50
-#: Milliseconds a request waits for a target to appear.
-_WAIT_FOR_TARGET: Final = 3 * SECOND
+#: Milliseconds after the deadline for a target to confirm the outcome of a cancelled request.
+_CONFIRMATION_TIMEOUT: Final = 300
+#: Milliseconds for a broken link to reconnect before an attempt is abandoned. An idempotent request
+#: can move to another target, so it waits less.
+_IDEMPOTENT_RESUME_TIMEOUT: Final = 300
+_NON_IDEMPOTENT_RESUME_TIMEOUT: Final = 3 * SECOND
+#: Maximum number of targets at which a waiting request is queued at once.
+_MAX_QUEUED_ATTEMPTS: Final = 4
+#: Milliseconds between checks of the connection to the caller and of the link.
+_LIVENESS_CHECK_INTERVAL: Final = 200
+#: Milliseconds before selection is repeated if no target is available.
+_SELECTION_RETRY_INTERVAL: Final = 50
+#: Milliseconds that a request waits for an available target.
+_SELECTION_TIMEOUT: Final = 3 * SECOND
 _RETRY_AFTER: Final = 1 * SECOND
-#: Milliseconds of waiting for a target from which on it is logged: what a caller notices.
-_LONG_WAIT: Final = 500
-#: Refusals for which the target is to blame.
-_BLAMED: Final = frozenset({Reason.LINK_LOST, Reason.BACKEND_FAILED, Reason.BACKEND_UNREACHABLE})
+#: Milliseconds of waiting for a target from which on the wait is logged.
+_WAIT_LOG_THRESHOLD: Final = 500
+#: Reasons of refusals that count as failures of the target.
+_TARGET_FAILURES: Final = frozenset(
+    {Reason.LINK_LOST, Reason.BACKEND_FAILED, Reason.BACKEND_UNREACHABLE}
+)
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
-    """The caller closed its connection; there is nobody to tell."""
+class CallerDisconnected:
+    """The caller closed its connection."""
 
 
-#: What a request comes to, piece by piece: a head, chunks, and an end or a refusal.
-Piece: TypeAlias = Head | Chunk | End | Refusal | CallerGone
+#: Part of the response to a caller: a head, then chunks, then an end or a refusal.
+AnswerPart: TypeAlias = Head | Chunk | End | Refusal | CallerDisconnected
 
 
 @dataclass(slots=True)
 class Call:
-    """A request that has been authenticated and checked."""
+    """An authenticated and validated request, and the state of its dispatch."""
 
-    #: The request as it will be sent; request and attempt number are filled in here.
+    #: Message to send to a target; the numbers of request and attempt are set for each attempt.
     run: Run
-    #: Time on the clock at which the caller gives up.
+    #: Clock time of the caller's deadline.
     deadline: int
-    #: Slots of the service's keys.
+    #: Number of key slots of the service.
     key_slots: int
-    #: Whether another target can go on where an answer broke off.
+    #: Whether another target can resume a partial response.
     resumable: bool
-    #: Tells whether the caller has gone.
-    gone: Callable[[], bool]
-    #: Makes a new key when the entry made the one in use, and no attempt with it
-    #: may have run; ``None`` when the caller knows the key.
+    #: Returns whether the caller has disconnected.
+    is_disconnected: Callable[[], bool]
+    #: Generates a new key; ``None`` if the caller supplied the key or an attempt with it may
+    #: have run.
     renew_key: Callable[[], str] | None
-    #: What the attempts get from their targets.
+    #: Events received by all attempts.
     events: Events = field(default_factory=queue.SimpleQueue)
-    #: Targets that refused or failed.
+    #: Instances of targets to exclude from selection.
     tried: set[str] = field(default_factory=set)
+    #: Number of attempts, excluding redirects.
     attempts: int = 0
-    #: Attempts sent, redirects included; numbers each attempt.
-    sent: int = 0
-    #: Time on the clock of the first redirect.
-    redirected: int = 0
-    #: Whether the head went to the caller, and the chunks that did.
+    #: Number of attempts sent, including redirects; also the number of the last attempt.
+    attempts_sent: int = 0
+    #: Clock time of the first redirect; 0 before it.
+    first_redirect_at: int = 0
+    #: Whether the head, and how many chunks, have been passed to the caller.
     head_sent: bool = False
-    delivered: int = 0
-    #: HTTP status in that head.
+    chunks_delivered: int = 0
+    #: HTTP status of that head.
     status: int = 0
 
 
 class Dispatcher:
-    """Chooses targets, sends attempts and joins their pieces to one answer."""
+    """Selects targets, sends attempts and combines their parts into one response."""
 
-    def __init__(self, peers: Peers, domain: str, clock: Clock) -> None:
-        self._peers = peers
+    def __init__(self, pool: TargetPool, domain: str, clock: Clock) -> None:
+        self._pool = pool
         self._domain = domain
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._budget = RetryBudget()
+        self._request_numbers = itertools.count(1)
+        self._retry_budget = RetryBudget()
 
-    def run(self, call: Call) -> Iterator[Piece]:
-        """Yield the pieces of the answer; the last is an end, a refusal or caller-gone."""
-        number = next(self._numbers)
+    def run(self, call: Call) -> Iterator[AnswerPart]:
+        """Yield the response; the last part is an end, a refusal or a caller disconnect."""
+        request_number = next(self._request_numbers)
         while True:
-            peer = self._find_peer(call)
-            if not isinstance(peer, Peer):
-                yield peer
+            target = self._wait_for_target(call)
+            if not isinstance(target, TargetClient):
+                yield target
                 return
-            last: Piece | None = None
-            for piece in self._attempt(call, peer, number):
-                last = piece
-                if not isinstance(piece, Refusal):
-                    yield piece
-            if isinstance(last, End):
-                self._budget.record_success()
-            if not isinstance(last, Refusal):
+            last_part: AnswerPart | None = None
+            for part in self._run_attempt(call, target, request_number):
+                last_part = part
+                if not isinstance(part, Refusal):
+                    yield part
+            if isinstance(last_part, End):
+                self._retry_budget.record_success()
+            if not isinstance(last_part, Refusal):
                 return
-            if not self._try_again(call, last):
-                yield last
+            if not self._prepare_retry(call, last_part):
+                yield last_part
                 return
 
-    def _try_again(self, call: Call, refusal: Refusal) -> bool:
-        """Tell whether another attempt follows, after whatever pause it needs."""
+    def _prepare_retry(self, call: Call, refusal: Refusal) -> bool:
+        """Return whether to make another attempt, after any necessary delay."""
         if refusal.reason is Reason.KEY_BEFORE_HOME and call.renew_key is not None:
             return self._renew_key(call, refusal)
         if refusal.outcome is not Outcome.NOT_RUN:
             call.renew_key = None
         if refusal.reason in REDIRECT_REASONS and not call.head_sent:
             return self._follow_redirect(call)
-        attempted = FailedAttempt(
+        failed_attempt = FailedAttempt(
             refusal, call.run.repeatable, call.attempts, call.deadline - self._clock.now()
         )
         if call.head_sent and not (call.run.repeatable and call.resumable):
             return False
-        return decide_retry(attempted, self._budget) is RetryDecision.RETRY
+        return decide_retry(failed_attempt, self._retry_budget) is RetryDecision.RETRY
 
     def _renew_key(self, call: Call, refusal: Refusal) -> bool:
-        """Make a new key once one may run; the old one never ran, nor did a caller know it."""
+        """Replace a refused key after the delay that the target asked for.
+
+        This is safe because the entry generated the old key and no attempt ran with it.
+        """
         assert call.renew_key is not None
         if self._clock.now() + refusal.retry_after >= call.deadline:
             return False
@@ -159,197 +165,211 @@
         return True
 
     def _follow_redirect(self, call: Call) -> bool:
-        """Look again for where a key runs or who is not leaving; costs time, not attempts."""
+        """Return whether to select another target; redirects do not count as attempts."""
         now = self._clock.now()
-        call.redirected = call.redirected or now
+        call.first_redirect_at = call.first_redirect_at or now
         call.attempts -= 1
-        if now >= min(call.deadline, call.redirected + _WAIT_FOR_TARGET):
+        if now >= min(call.deadline, call.first_redirect_at + _SELECTION_TIMEOUT):
             return False
         if not call.run.repeatable:
             call.tried.clear()
-            time.sleep(_PAUSE / SECOND)
+            time.sleep(_SELECTION_RETRY_INTERVAL / SECOND)
         return True
 
-    def _find_peer(self, call: Call) -> Peer | Refusal | CallerGone:
-        """Return a target, waiting a little for one to appear."""
-        began = self._clock.now()
-        patience = min(call.deadline, began + _WAIT_FOR_TARGET)
-        missing = Reason.NO_TARGET
+    def _wait_for_target(self, call: Call) -> TargetClient | Refusal | CallerDisconnected:
+        """Return a target, waiting for a limited time until one is available."""
+        started_at = self._clock.now()
+        give_up_at = min(call.deadline, started_at + _SELECTION_TIMEOUT)
+        last_reason = Reason.NO_TARGET
         while True:
-            found = self._choose(call)
-            if isinstance(found, Peer):
-                self._note_wait(call, began, missing, found.instance)
+            found = self._select_target(call)
+            if isinstance(found, TargetClient):
+                self._log_wait(call, started_at, last_reason, found.instance)
                 return found
-            missing = found
-            if found is Reason.OVERLOADED or self._clock.now() >= patience:
+            last_reason = found
+            if found is Reason.OVERLOADED or self._clock.now() >= give_up_at:
                 detail = "no target can take the request now"
-                self._note_wait(call, began, found, "")
+                self._log_wait(call, started_at, found, "")
                 return Refusal(Outcome.NOT_RUN, found, detail, _RETRY_AFTER)
-            if call.gone():
-                return CallerGone()
+            if call.is_disconnected():
+                return CallerDisconnected()
             if call.tried:
-                # Every target has been tried once: they may be tried again.
+                # Every target has been tried once; allow a second round.
                 call.tried.clear()
-            time.sleep(_PAUSE / SECOND)
+            time.sleep(_SELECTION_RETRY_INTERVAL / SECOND)
 
-    def _note_wait(self, call: Call, began: int, missing: Reason, target: str) -> None:
-        waited = self._clock.now() - began
-        if waited >= _LONG_WAIT:
+    def _log_wait(self, call: Call, started_at: int, reason: Reason, target: str) -> None:
+        waited = self._clock.now() - started_at
+        if waited >= _WAIT_LOG_THRESHOLD:
             _log.info(
                 "waited for a target",
                 request_id=call.run.request_id,
                 service=call.run.service,
                 waited=waited,
-                missing=missing.value,
+                missing=reason.value,
                 target=target,
             )
 
-    def _choose(self, call: Call) -> Peer | Reason:
+    def _select_target(self, call: Call) -> TargetClient | Reason:
         req = RouteRequest(call.run.service, self._domain, frozenset(call.tried))
         if call.run.repeatable:
-            return self._peers.choose(req)
-        return self._peers.choose_home(req, call.run.key, call.key_slots)
+            return self._pool.select(req)
+        return self._pool.select_key_owner(req, call.run.key, call.key_slots)
 
-    def _attempt(self, call: Call, peer: Peer, number: int) -> Iterator[Piece]:
-        """Make one attempt; a refusal that ends it is the last piece."""
+    def _run_attempt(
+        self, call: Call, target: TargetClient, request_number: int
+    ) -> Iterator[AnswerPart]:
+        """Make one attempt; if it fails, the last part is a refusal."""
         call.attempts += 1
-        attempt = self._begin(call, peer, number, standby=False)
+        attempt = self._start_attempt(call, target, request_number, standby=False)
         if attempt is None:
             yield Refusal(Outcome.NOT_RUN, Reason.LINK_LOST, "the link does not stand", 100)
             return
-        lines = Lines(attempt, number)
-        whole = False
+        group = AttemptGroup(attempt, request_number)
+        completed = False
         try:
-            for piece in self._receive(call, lines):
-                whole = isinstance(piece, End)
-                yield piece
+            for part in self._receive_answer(call, group):
+                completed = isinstance(part, End)
+                yield part
         finally:
-            lines.finish(whole=whole)
+            group.finish(completed=completed)
 
-    def _begin(self, call: Call, peer: Peer, number: int, standby: bool) -> Attempt | None:
-        call.sent += 1
-        call.tried.add(peer.instance)
+    def _start_attempt(
+        self, call: Call, target: TargetClient, request_number: int, standby: bool
+    ) -> Attempt | None:
+        call.attempts_sent += 1
+        call.tried.add(target.instance)
         remaining = max(0, call.deadline - self._clock.now())
         run = msgspec.structs.replace(
             call.run,
-            request=number,
-            attempt=call.sent,
+            request=request_number,
+            attempt=call.attempts_sent,
             remaining=remaining,
-            offset=call.delivered,
+            offset=call.chunks_delivered,
             standby=standby,
         )
-        return peer.begin(run, call.events)
+        return target.start_attempt(run, call.events)
 
-    def _receive(self, call: Call, lines: Lines) -> Iterator[Piece]:
+    def _receive_answer(self, call: Call, group: AttemptGroup) -> Iterator[AnswerPart]:
         while True:
-            heard = self._next_event(call, lines)
-            if isinstance(heard, Refusal | CallerGone):
-                yield heard
+            received = self._next_event(call, group)
+            if isinstance(received, Refusal | CallerDisconnected):
+                yield received
                 return
-            source, event = heard
-            if source is not lines.current:
-                self._stand_by(lines, source, event)
+            source, event = received
+            if source is not group.primary:
+                self._handle_standby_event(group, source, event)
                 continue
-            peer = source.peer
+            target = source.target
             match event:
                 case Queued():
-                    self._stand_elsewhere(call, lines)
+                    self._start_standbys(call, group)
                 case Started():
-                    lines.drop_others()
+                    group.cancel_standbys()
                 case Head():
-                    lines.drop_others()
+                    group.cancel_standbys()
                     if call.head_sent and event.status != call.status:
-                        yield _lost("another target answered otherwise")
+                        yield _link_lost("another target answered otherwise")
                         return
                     if not call.head_sent:
                         call.head_sent, call.status = True, event.status
                         yield event
                 case Chunk():
-                    call.delivered += 1
+                    call.chunks_delivered += 1
                     yield event
                 case End():
-                    peer.ejection.record_success()
+                    target.ejection.record_success()
                     yield event
                     return
                 case Refused():
-                    refusal = self._judge(peer, event)
-                    if not lines.go_on_without(source, refusal):
+                    refusal = self._record_refusal(target, event)
+                    if not group.try_fall_back(source, refusal):
                         yield refusal
                         return
-                case Lost():
-                    peer.ejection.record_failure()
-                    refusal = _lost("the target's process ended")
-                    if not lines.go_on_without(source, refusal):
+                case AttemptLost():
+                    target.ejection.record_failure()
+                    refusal = _link_lost("the target's process ended")
+                    if not group.try_fall_back(source, refusal):
                         yield refusal
                         return
 
-    def _stand_elsewhere(self, call: Call, lines: Lines) -> None:
-        """The request has to wait, so it stands in line at further targets too.
+    def _start_standbys(self, call: Call, group: AttemptGroup) -> None:
+        """Queue a waiting request at further targets.
 
-        Only what may run twice without harm does: should two targets start it at
-        the same moment, one of them has worked for nothing.
+        Two targets may start the request at the same time, so only idempotent requests are
+        queued more than once.
         """
         if not call.run.repeatable or call.head_sent:
             return
-        for _ in range(_LINES - 1):
-            peer = self._choose(call)
-            if not isinstance(peer, Peer):
+        for _ in range(_MAX_QUEUED_ATTEMPTS - 1):
+            target = self._select_target(call)
+            if not isinstance(target, TargetClient):
                 return
-            attempt = self._begin(call, peer, lines.number, standby=True)
+            attempt = self._start_attempt(call, target, group.request_number, standby=True)
             if attempt is not None:
-                lines.others.append(attempt)
+                group.standbys.append(attempt)
 
-    def _stand_by(self, lines: Lines, source: Attempt, event: Event) -> None:
-        """Take note of what a target says at which the request stands by."""
-        if source not in lines.others:
+    def _handle_standby_event(self, group: AttemptGroup, source: Attempt, event: Event) -> None:
+        """Promote a standby attempt that has a slot; drop one that failed."""
+        if source not in group.standbys:
             return
         match event:
             case Ready():
-                lines.move_to(source)
-            case Refused() | Lost():
-                lines.others.remove(source)
-                source.peer.finish(source, whole=False)
+                group.promote(source)
+            case Refused() | AttemptLost():
+                group.standbys.remove(source)
+                source.target.finish(source, completed=False)
             case _:
                 pass
 
-    def _judge(self, peer: Peer, refused: Refused) -> Refusal:
+    def _record_refusal(self, target: TargetClient, refused: Refused) -> Refusal:
         refusal = Refusal(
             Outcome(refused.outcome), Reason(refused.reason), refused.detail, refused.retry_after
         )
-        if refusal.reason in _BLAMED:
-            peer.ejection.record_failure()
+        if refusal.reason in _TARGET_FAILURES:
+            target.ejection.record_failure()
         return refusal
 
-    def _next_event(self, call: Call, lines: Lines) -> tuple[Attempt, Event] | Refusal | CallerGone:
-        """Return what comes next and from which attempt, or why nothing more will."""
-        down_since = 0
+    def _next_event(
+        self, call: Call, group: AttemptGroup
+    ) -> tuple[Attempt, Event] | Refusal | CallerDisconnected:
+        """Return the next event and its attempt, or why no more events will follow."""
+        disconnected_at = 0
         cancelled = False
-        patience = _RESUME_REPEATABLE if call.run.repeatable else _RESUME_ONCE
+        resume_timeout = (
+            _IDEMPOTENT_RESUME_TIMEOUT if call.run.repeatable else _NON_IDEMPOTENT_RESUME_TIMEOUT
+        )
         while True:
             now = self._clock.now()
-            timeout = max(1, min(_LOOK, _LOOK if cancelled else call.deadline - now))
+            timeout = max(
+                1,
+                min(
+                    _LIVENESS_CHECK_INTERVAL,
+                    _LIVENESS_CHECK_INTERVAL if cancelled else call.deadline - now,
+                ),
+            )
             try:
                 return call.events.get(timeout=timeout / SECOND)
             except queue.Empty:
                 pass
-            current = lines.current
-            if call.gone():
-                return CallerGone()
+            primary = group.primary
+            if call.is_disconnected():
+                return CallerDisconnected()
             now = self._clock.now()
             if now >= call.deadline and not cancelled:
-                lines.cancel()
+                group.cancel()
                 cancelled = True
-            if now >= call.deadline + _CONFIRM:
+            if now >= call.deadline + _CONFIRMATION_TIMEOUT:
                 detail = "the deadline passed and the target did not say whether it ran"
                 return Refusal(Outcome.UNKNOWN, Reason.DEADLINE, detail)
-            if current is None or current.peer.connected:
-                down_since = 0
-            elif not down_since:
-                down_since = now
-            elif now - down_since > patience:
-                current.peer.ejection.record_failure()
-                return current, Lost()
+            if primary is None or primary.target.connected:
+                disconnected_at = 0
+            elif not disconnected_at:
+                disconnected_at = now
+            elif now - disconnected_at > resume_timeout:
+                primary.target.ejection.record_failure()
+                return primary, AttemptLost()
 
 
-def _lost(detail: str) -> Refusal:
+def _link_lost(detail: str) -> Refusal:
     return Refusal(Outcome.UNKNOWN, Reason.LINK_LOST, detail)
--- a/src/canvasyoke/entry/_lines.py
+++ b/src/canvasyoke/entry/_lines.py
@@ -1,4 +1,4 @@
-"""The lines in which one request stands, at several targets at once."""
+"""Attempts of one request that are queued at several targets."""
 
 from __future__ import annotations
 
@@ -6,52 +6,55 @@
 from canvasyoke.protocol import Outcome, Refusal
 
 
-class Lines:
-    """The lines in which one request stands: the one it counts on, and others."""
-
-    def __init__(self, current: Attempt, number: int) -> None:
-        #: Attempt whose answer is passed on; ``None`` while only others are left.
-        self.current: Attempt | None = current
-        #: Attempts that stand by.
-        self.others: list[Attempt] = []
-        #: Number of the request.
-        self.number = number
-
-    def move_to(self, ready: Attempt) -> None:
-        """Take the slot that is free; leave all other lines."""
-        self.others.remove(ready)
-        if self.current is not None:
-            self.others.append(self.current)
-        self.current = ready
-        ready.peer.go(ready)
-        self.drop_others()
-
-    def drop_others(self) -> None:
-        """Leave all lines but the current one."""
-        for other in self.others:
-            other.peer.finish(other, whole=False)
-        self.others.clear()
-
-    def go_on_without(self, refused: Attempt, refusal: Refusal) -> bool:
-        """Tell whether the request still stands in another line that may come good.
-
-        Only a certain refusal lets it: a request that may have run is not left to
-        run again without its retry being counted.
+class AttemptGroup:
+    """The attempts of one request: the primary one, and standbys queued at other targets.
+
+    A standby does not run until it is promoted, which cancels the other attempts.
+    """
+
+    def __init__(self, primary: Attempt, request_number: int) -> None:
+        #: Attempt whose response is relayed; ``None`` if it was refused and only standbys are left.
+        self.primary: Attempt | None = primary
+        #: Attempts that run only if promoted.
+        self.standbys: list[Attempt] = []
+        #: Number of the request at this entry.
+        self.request_number = request_number
+
+    def promote(self, standby: Attempt) -> None:
+        """Make ``standby`` the primary attempt, claim its slot and cancel all others."""
+        self.standbys.remove(standby)
+        if self.primary is not None:
+            self.standbys.append(self.primary)
+        self.primary = standby
+        standby.target.claim_slot(standby)
+        self.cancel_standbys()
+
+    def cancel_standbys(self) -> None:
+        """Cancel all standbys."""
+        for standby in self.standbys:
+            standby.target.finish(standby, completed=False)
+        self.standbys.clear()
+
+    def try_fall_back(self, failed: Attempt, refusal: Refusal) -> bool:
+        """Drop the failed primary attempt if a standby can take over; return whether one can.
+
+        An attempt that may have run is not dropped: running the request again must count as a
+        retry.
         """
-        if not self.others or refusal.outcome is not Outcome.NOT_RUN:
+        if not self.standbys or refusal.outcome is not Outcome.NOT_RUN:
             return False
-        refused.peer.finish(refused, whole=False)
-        self.current = None
+        failed.target.finish(failed, completed=False)
+        self.primary = None
         return True
 
     def cancel(self) -> None:
-        """Ask every target to stop, and keep listening."""
-        for attempt in (self.current, *self.others):
+        """Send a cancellation to every target; their replies are still received."""
+        for attempt in (self.primary, *self.standbys):
             if attempt is not None:
-                attempt.peer.cancel(attempt)
+                attempt.target.cancel(attempt)
 
-    def finish(self, *, whole: bool) -> None:
-        """Stop listening to all of them."""
-        self.drop_others()
-        if self.current is not None:
-            self.current.peer.finish(self.current, whole=whole)
+    def finish(self, *, completed: bool) -> None:
+        """Finish all attempts; ``completed`` tells whether the response is complete."""
+        self.cancel_standbys()
+        if self.primary is not None:
+            self.primary.target.finish(self.primary, completed=completed)
--- a/src/canvasyoke/entry/_peer.py
+++ b/src/canvasyoke/entry/_peer.py
@@ -1,4 +1,4 @@
-"""One target as an entry knows it: its link, its last report, the requests there."""
+"""Client for one target: its link, its last report and the attempts in flight there."""
 
 from __future__ import annotations
 
@@ -40,39 +40,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """The target's process is another one now: nothing more will come of the attempt."""
+class AttemptLost:
+    """The target process that received the attempt has ended; no more messages will follow."""
 
 
-#: What an attempt may get from its target.
-Event: TypeAlias = Head | Chunk | End | Refused | Queued | Started | Ready | Lost
+#: Event received for an attempt.
+Event: TypeAlias = Head | Chunk | End | Refused | Queued | Started | Ready | AttemptLost
 
-#: Where the attempts at one request put what they get.
+#: Queue shared by all attempts of one request.
 Events: TypeAlias = "queue.SimpleQueue[tuple[Attempt, Event]]"
 
 
 class Attempt:
-    """One try at a request, waiting for what its target sends."""
+    """One attempt to run a request at a target."""
 
-    def __init__(self, run: Run, peer: Peer, incarnation: str, events: Events) -> None:
+    def __init__(self, run: Run, target: TargetClient, incarnation: str, events: Events) -> None:
         self.run = run
-        #: The target it was sent to.
-        self.peer = peer
-        #: Run of the target's process that the attempt was sent to.
+        #: Target that the attempt was sent to.
+        self.target = target
+        #: Incarnation of the target process that received the attempt.
         self.incarnation = incarnation
-        #: Index of the next chunk wanted.
+        #: Index of the next expected chunk.
         self.next_offset = run.offset
-        #: Whether the head has come.
-        self.has_head = False
+        #: Whether the head of the response has been received.
+        self.head_received = False
         self._events = events
 
     def put(self, event: Event) -> None:
-        """Add an event, on the peer's task."""
+        """Queue an event; called on the thread of the link."""
         self._events.put((self, event))
 
 
-class Peer:
-    """One target. The link's task writes the report; requests' tasks read it."""
+class TargetClient:
+    """Client for one target.
+
+    The report is written by the thread of the link and read by the threads of requests.
+    """
 
     def __init__(
         self,
@@ -83,30 +86,30 @@
         incarnation: str,
         clock: Clock,
         rng: random.Random,
-        on_report: Callable[[Peer], None],
-        on_offer: Callable[[ConfigOffer], None],
-        on_wanted: Callable[[Session, int], None],
+        on_report: Callable[[TargetClient], None],
+        on_config_offer: Callable[[ConfigOffer], None],
+        on_config_wanted: Callable[[Session, int], None],
     ) -> None:
         #: Name of the target's instance.
         self.instance = instance
-        #: Address of the target's link.
+        #: Address that the target accepts links at.
         self.address = address
-        #: Evidence from traffic.
+        #: Passive health check of the target.
         self.ejection = Ejection(clock)
         #: Last report; ``None`` before the first.
         self.report: LoadReport | None = None
         self._reported_at = 0
-        self._own_reported = 0
+        self._in_flight_at_report = 0
         self._clock = clock
         self._on_report = on_report
-        self._on_offer = on_offer
+        self._on_config_offer = on_config_offer
         #: Generation offered to the target in this session.
-        self.offered = 0
-        self._on_wanted = on_wanted
+        self.offered_generation = 0
+        self._on_config_wanted = on_config_wanted
         self._lock = threading.Lock()
         self._attempts: dict[tuple[int, int], Attempt] = {}
         self._session: Session | None = None
-        #: Whether the target said goodbye.
+        #: Whether the target announced that it has drained.
         self.drained = False
         self._client = LinkClient(
             address,
@@ -116,36 +119,36 @@
             incarnation,
             clock,
             rng,
-            self._received,
-            self._opened,
-            self._closed,
+            self._on_message,
+            self._on_open,
+            self._on_close,
         )
 
     def start(self) -> None:
-        """Start the link's task."""
+        """Start the thread of the link."""
         self._client.start()
 
     def stop(self) -> None:
-        """End the link."""
+        """Close the link."""
         self._client.stop()
 
     @property
     def connected(self) -> bool:
-        """Tell whether the link stands."""
+        """Return whether the link is up."""
         return self._session is not None
 
     @property
     def fault(self) -> str:
-        """Return why the link does not stand; empty when it does."""
+        """Return why the link is down; empty if it is up."""
         return "" if self.connected else self._client.last_fault
 
     @property
     def in_flight(self) -> int:
-        """Return this entry's requests under way at the target."""
+        """Return the number of attempts of this entry in flight at the target."""
         return len(self._attempts)
 
-    def candidate(self, queue_limit: int) -> Candidate | None:
-        """Return the target as a choice; ``None`` while it has no configuration."""
+    def to_candidate(self, queue_limit: int) -> Candidate | None:
+        """Return the target as a candidate for selection; ``None`` until it has a configuration."""
         report = self.report
         if report is None or not report.generation:
             return None
@@ -162,13 +165,13 @@
             reported_load=report.running + report.queued,
             reported_waiting=report.queued,
             report_age=self._clock.now() - self._reported_at,
-            own_in_flight_at_report=self._own_reported,
+            own_in_flight_at_report=self._in_flight_at_report,
             own_in_flight=self.in_flight,
             duration=report.duration,
         )
 
-    def begin(self, run: Run, events: Events) -> Attempt | None:
-        """Send ``run``; ``None`` when the link does not stand, so it was not sent."""
+    def start_attempt(self, run: Run, events: Events) -> Attempt | None:
+        """Send ``run``; return ``None``, without sending, if the link is down."""
         with self._lock:
             session = self._session
             if session is None:
@@ -179,36 +182,36 @@
         session.send(run)
         return attempt
 
-    def finish(self, attempt: Attempt, *, whole: bool) -> None:
-        """Stop listening; tell the target that the answer came or is not wanted."""
+    def finish(self, attempt: Attempt, *, completed: bool) -> None:
+        """Drop the attempt, and tell the target whether its response is complete or cancelled."""
         run = attempt.run
         with self._lock:
             self._attempts.pop((run.request, run.attempt), None)
             session = self._session
         if session is not None:
-            kind = Forget if whole else Cancel
-            session.send(kind(run.request, run.attempt))
+            message_type = Forget if completed else Cancel
+            session.send(message_type(run.request, run.attempt))
 
-    def go(self, attempt: Attempt) -> None:
-        """Take the slot that the target holds for a request that stood by."""
+    def claim_slot(self, attempt: Attempt) -> None:
+        """Run a standby attempt in the slot that the target has reserved for it."""
         self.send(Go(attempt.run.request, attempt.run.attempt))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ask the target to stop, and keep listening for what it says to that."""
+        """Send a cancellation; the target's reply is still received."""
         self.send(Cancel(attempt.run.request, attempt.run.attempt))
 
     def send(self, message: Message) -> None:
-        """Send ``message`` if the link stands."""
+        """Send ``message`` if the link is up."""
         session = self._session
         if session is not None:
             session.send(message)
 
-    # On the link's task.
+    # Callbacks on the thread of the link.
 
-    def _opened(self, session: Session) -> None:
-        _log.info("target is up", target=session.peer, address=self.address)
+    def _on_open(self, session: Session) -> None:
+        _log.info("link opened", target=session.peer, address=self.address)
         self.drained = False
-        self.offered = 0
+        self.offered_generation = 0
         with self._lock:
             self._session = session
             attempts = list(self._attempts.values())
@@ -217,40 +220,40 @@
                 run = attempt.run
                 session.send(Resume(run.request, run.attempt, attempt.next_offset))
             else:
-                attempt.put(Lost())
+                attempt.put(AttemptLost())
 
-    def _closed(self, session: Session) -> None:
-        _log.info("target is down", target=session.peer, fault=self._client.last_fault)
+    def _on_close(self, session: Session) -> None:
+        _log.info("link closed", target=session.peer, fault=self._client.last_fault)
         with self._lock:
             if self._session is session:
                 self._session = None
 
-    def _received(self, session: Session, message: Message) -> None:
+    def _on_message(self, session: Session, message: Message) -> None:
         match message:
             case Head() | Chunk() | End() | Refused() | Queued() | Started() | Ready():
-                self._pass_on(message)
+                self._deliver(message)
             case LoadReport():
-                self._take_report(message)
+                self._store_report(message)
                 self._on_report(self)
             case Load():
-                self._take_load(message)
+                self._apply_load(message)
             case Drained():
                 self.drained = True
             case ConfigOffer():
-                self._on_offer(message)
+                self._on_config_offer(message)
             case ConfigWanted():
-                self._on_wanted(session, message.generation)
+                self._on_config_wanted(session, message.generation)
             case _:
-                _log.warning("message of the wrong kind", target=session.peer)
+                _log.warning("unexpected message type", target=session.peer)
 
-    def _take_report(self, report: LoadReport) -> None:
+    def _store_report(self, report: LoadReport) -> None:
         self.report = report
         self._reported_at = self._clock.now()
-        self._own_reported = self.in_flight
+        self._in_flight_at_report = self.in_flight
 
-    def _take_load(self, load: Load) -> None:
+    def _apply_load(self, load: Load) -> None:
         if self.report is not None:
-            self._take_report(
+            self._store_report(
                 msgspec.structs.replace(
                     self.report,
                     running=load.running,
@@ -259,15 +262,15 @@
                 )
             )
 
-    def _pass_on(self, message: Head | Chunk | End | Refused | Queued | Started | Ready) -> None:
-        """Give a piece of an answer to its attempt, once and in order."""
+    def _deliver(self, message: Head | Chunk | End | Refused | Queued | Started | Ready) -> None:
+        """Pass a message to its attempt, dropping duplicates and messages out of order."""
         attempt = self._attempts.get((message.request, message.attempt))
         if attempt is None:
             return
         if isinstance(message, Head):
-            if attempt.has_head:
+            if attempt.head_received:
                 return
-            attempt.has_head = True
+            attempt.head_received = True
         elif isinstance(message, Chunk):
             if message.offset != attempt.next_offset:
                 return
--- a/src/canvasyoke/entry/_peers.py
+++ b/src/canvasyoke/entry/_peers.py
@@ -1,4 +1,4 @@
-"""The targets an entry is linked to: found in the instance list, kept while live."""
+"""The targets that an entry is linked to, discovered through the instance list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     filter_candidates,
     slot_of,
 )
-from canvasyoke.entry._peer import Peer
+from canvasyoke.entry._peer import TargetClient
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import ConfigOffer, ConfigWanted, Reason
 from canvasyoke.state import (
@@ -33,11 +33,11 @@
 from canvasyoke.transport import Session
 
 _log = part_logger("peers")
-_LOOK_EVERY: Final = 1 * SECOND
+_REFRESH_INTERVAL: Final = 1 * SECOND
 
 
-class Peers:
-    """All targets this entry knows, and the choice among them."""
+class TargetPool:
+    """Links to all known targets, target selection and distribution of the configuration."""
 
     def __init__(
         self,
@@ -62,104 +62,104 @@
         self._clock = clock
         self._rng = rng
         self._ranker = RANKERS.get(ranker)(rng)
-        self._peers: dict[str, Peer] = {}
+        self._targets: dict[str, TargetClient] = {}
         self._listed: dict[str, Instance] = {}
-        #: Whether the instance list was read at the last look.
-        self.list_fresh = False
+        #: Whether the last read of the instance list succeeded.
+        self.instance_list_available = False
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="peers", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="peers", daemon=True)
 
     def start(self) -> None:
-        """Start the task that follows the instance list."""
-        self._task.start()
+        """Start the thread that polls the instance list."""
+        self._thread.start()
 
     def stop(self) -> None:
-        """End all links."""
+        """Stop the thread and close all links."""
         self._stop.set()
-        for peer in self.all():
-            peer.stop()
+        for target in self.all():
+            target.stop()
 
-    def all(self) -> list[Peer]:
-        """Return the targets known, in order of name."""
-        return [peer for _, peer in sorted(self._peers.items())]
+    def all(self) -> list[TargetClient]:
+        """Return all known targets, sorted by name."""
+        return [target for _, target in sorted(self._targets.items())]
 
     @property
     def any_connected(self) -> bool:
-        """Tell whether a link to some target stands."""
-        return any(peer.connected for peer in self._peers.values())
-
-    def choose(self, req: RouteRequest) -> Peer | Reason:
-        """Return a target for a repeatable request, or why there is none."""
-        filtered = self._filter(req)
-        if not filtered.candidates:
-            return filtered.reason
-        chosen = self._ranker.choose(filtered.candidates, req)
-        return self._peers.get(chosen.instance, Reason.NO_TARGET)
-
-    def choose_home(self, req: RouteRequest, key: str, slots: int) -> Peer | Reason:
-        """Return the target that holds the slot of ``key``, or why there is none.
-
-        Of two that claim the slot, the one with the higher epoch is right; a claim
-        that is out of date only leads to a refusal, never to a second run.
+        """Return whether the link to any target is up."""
+        return any(target.connected for target in self._targets.values())
+
+    def select(self, req: RouteRequest) -> TargetClient | Reason:
+        """Return a target for an idempotent request, or why there is none."""
+        result = self._filter(req)
+        if not result.candidates:
+            return result.reason
+        selected = self._ranker.choose(result.candidates, req)
+        return self._targets.get(selected.instance, Reason.NO_TARGET)
+
+    def select_key_owner(self, req: RouteRequest, key: str, slots: int) -> TargetClient | Reason:
+        """Return the target that owns the slot of ``key``, or why there is none.
+
+        If several targets claim the slot, the highest epoch wins. A stale claim is safe: the
+        target refuses the request instead of running it a second time.
         """
         slot = slot_of(key, slots)
-        best: Peer | None = None
-        best_epoch = -1
-        for peer in list(self._peers.values()):
-            report = peer.report
-            if report is None or not peer.connected or report.service != req.service:
+        owner: TargetClient | None = None
+        owner_epoch = -1
+        for target in list(self._targets.values()):
+            report = target.report
+            if report is None or not target.connected or report.service != req.service:
                 continue
-            if peer.instance in req.tried or not report.healthy:
+            if target.instance in req.tried or not report.healthy:
                 continue
             for claim in report.homes:
-                if claim.slot == slot and claim.epoch > best_epoch:
-                    best, best_epoch = peer, claim.epoch
-        return best or Reason.NOT_HOME
+                if claim.slot == slot and claim.epoch > owner_epoch:
+                    owner, owner_epoch = target, claim.epoch
+        return owner or Reason.NOT_HOME
 
     def _filter(self, req: RouteRequest) -> FilterResult:
         return filter_candidates(list(self._candidates(req.service)), req)
 
     def _candidates(self, service: str) -> Iterable[Candidate]:
         engines = self._view.current.engines
-        for peer in list(self._peers.values()):
-            engine = engines.get(peer.instance)
+        for target in list(self._targets.values()):
+            engine = engines.get(target.instance)
             if engine is None or engine.model.service != service:
                 continue
-            candidate = peer.candidate(engine.model.queue)
+            candidate = target.to_candidate(engine.model.queue)
             if candidate is not None:
                 yield candidate
 
-    # Following the instance list.
+    # Service discovery.
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            self._look()
-            self._stop.wait(_LOOK_EVERY * self._rng.uniform(0.8, 1.2) / SECOND)
+            self._refresh()
+            self._stop.wait(_REFRESH_INTERVAL * self._rng.uniform(0.8, 1.2) / SECOND)
 
-    def _look(self) -> None:
-        """Link to what is listed; drop what is neither listed nor answering."""
+    def _refresh(self) -> None:
+        """Connect to listed targets; remove those that are neither listed nor connected."""
         listed = self._platform.instances()
-        self.list_fresh = not isinstance(listed, Unavailable)
+        self.instance_list_available = not isinstance(listed, Unavailable)
         if isinstance(listed, Unavailable):
             return
         targets = {i.name: i for i in listed if i.role == "target"}
         for name, instance in targets.items():
-            self._follow(name, instance)
-        for name, peer in list(self._peers.items()):
-            if name not in targets and not peer.connected:
-                _log.info("target is gone", target=name)
-                peer.stop()
-                del self._peers[name]
-
-    def _follow(self, name: str, instance: Instance) -> None:
-        peer = self._peers.get(name)
-        if peer is not None and peer.address == instance.address:
+            self._connect(name, instance)
+        for name, target in list(self._targets.items()):
+            if name not in targets and not target.connected:
+                _log.info("target removed", target=name)
+                target.stop()
+                del self._targets[name]
+
+    def _connect(self, name: str, instance: Instance) -> None:
+        target = self._targets.get(name)
+        if target is not None and target.address == instance.address:
             return
         if instance.state is InstanceState.LEAVING:
             return
-        if peer is not None:
-            peer.stop()
-        peer = Peer(
+        if target is not None:
+            target.stop()
+        target = TargetClient(
             name,
             instance.address,
             self._link_key,
@@ -167,36 +167,36 @@
             self._incarnation,
             self._clock,
             self._rng,
-            self._exchange_config,
-            self._offered,
-            self._wanted,
+            self._sync_config,
+            self._on_config_offer,
+            self._on_config_wanted,
         )
-        self._peers[name] = peer
-        peer.start()
+        self._targets[name] = target
+        target.start()
 
-    # Passing the configuration on.
+    # Distribution of the configuration.
 
-    def _exchange_config(self, peer: Peer) -> None:
-        """Offer a peer that is behind what is in force here, or ask one that is ahead."""
-        report, generation = peer.report, self._view.current.generation
+    def _sync_config(self, target: TargetClient) -> None:
+        """Offer the configuration to a target that is behind; request it from one that is ahead."""
+        report, generation = target.report, self._view.current.generation
         if report is None:
             return
-        if report.generation < generation and peer.offered < generation:
-            self.offer_config(peer)
+        if report.generation < generation and target.offered_generation < generation:
+            self.offer_config(target)
         elif report.generation > generation:
-            peer.send(ConfigWanted(generation))
+            target.send(ConfigWanted(generation))
 
-    def offer_config(self, peer: Peer) -> None:
-        """Send the configuration in force to ``peer``."""
+    def offer_config(self, target: TargetClient) -> None:
+        """Send the configuration in force to ``target``."""
         offer = self._make_offer()
         if offer is not None:
-            peer.offered = offer.generation
-            peer.send(offer)
+            target.offered_generation = offer.generation
+            target.send(offer)
 
-    def offer_all(self) -> None:
+    def offer_config_to_all(self) -> None:
         """Send the configuration in force to every target."""
-        for peer in list(self._peers.values()):
-            self.offer_config(peer)
+        for target in list(self._targets.values()):
+            self.offer_config(target)
 
     def _make_offer(self) -> ConfigOffer | None:
         snapshot = self._view.snapshot
@@ -205,11 +205,11 @@
         generation = self._view.current.generation
         return ConfigOffer(generation, snapshot.root, dict(snapshot.contents))
 
-    def _offered(self, offer: ConfigOffer) -> None:
+    def _on_config_offer(self, offer: ConfigOffer) -> None:
         if offer.generation > self._view.current.generation:
             self._adopt.defer(Snapshot(offer.root, offer.contents))
 
-    def _wanted(self, session: Session, generation: int) -> None:
+    def _on_config_wanted(self, session: Session, generation: int) -> None:
         offer = self._make_offer()
         if offer is not None and offer.generation > generation:
             session.send(offer)
--- a/src/canvasyoke/entry/_process.py
+++ b/src/canvasyoke/entry/_process.py
@@ -1,4 +1,4 @@
-"""Assembles an entry process and runs it until it has drained."""
+"""Builds the components of an entry and runs it until it has drained."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 import msgspec
 
 from canvasyoke._clock import SECOND, Clock, SystemClock
-from canvasyoke.entry._callers import HTTP_BODY_LIMIT, CallerApplication
+from canvasyoke.entry._callers import MAX_HTTP_BODY, CallerApp
 from canvasyoke.entry._dispatch import Dispatcher
 from canvasyoke.entry._metrics import EntryMetrics
-from canvasyoke.entry._peers import Peers
+from canvasyoke.entry._peers import TargetPool
 from canvasyoke.entry._status import collect_status
 from canvasyoke.entry._watcher import ConfigWatcher
 from canvasyoke.observe import part_logger
@@ -24,29 +24,30 @@
 from canvasyoke.transport import HttpServer
 
 _log = part_logger("entry")
-_RANKER: Final = "two_choices"
-#: Threads beyond those that hold requests, for health checks and refusals.
+_RANKER_NAME: Final = "two_choices"
+#: Additional HTTP threads, so that health checks and refusals are served at full load.
 _SPARE_THREADS: Final = 16
 _ADMIN_THREADS: Final = 4
-#: Milliseconds that the balancer gets to see that the entry is not ready.
+#: Milliseconds for the upstream balancer to notice that the entry is not ready.
 _BALANCER_GRACE: Final = 1 * SECOND
-_POLL: Final = 50
+#: Milliseconds between checks whether all requests have finished while draining.
+_DRAIN_POLL_INTERVAL: Final = 50
 
 
 class EntryProcess:
-    """One entry process."""
+    """An entry process."""
 
     def __init__(self, settings: EntrySettings, clock: Clock | None = None) -> None:
         self._settings = settings
         self._clock = clock or SystemClock()
         rng = random.Random(settings.seed or secrets.randbits(64))
         self._view = ConfigView()
-        self._leaving = threading.Event()
-        self._keeper = ConfigKeeper.start(self._view, self._configured)
+        self._stopping = threading.Event()
+        self._keeper = ConfigKeeper.start(self._view, self._on_config)
         make_platform = PLATFORMS.get(settings.platform.adapter)
         address = settings.platform.address
         self._watcher = ConfigWatcher(make_platform(address), self._view, self._keeper, rng)
-        self._peers = Peers(
+        self._pool = TargetPool(
             make_platform(address),
             self._view,
             self._keeper,
@@ -56,17 +57,17 @@
             secrets.token_hex(8),
             self._clock,
             rng,
-            _RANKER,
+            _RANKER_NAME,
         )
         self._metrics = EntryMetrics()
-        self._callers = CallerApplication(
+        self._callers = CallerApp(
             self._view,
-            Dispatcher(self._peers, settings.domain, self._clock),
+            Dispatcher(self._pool, settings.domain, self._clock),
             self._clock,
             rng,
             self._metrics,
             settings.streams,
-            self._not_ready,
+            self._not_ready_reason,
         )
         self._metrics.all.gauge(
             "canvasyoke_requests_in_flight", "Requests held now.", lambda: self._callers.in_flight
@@ -77,73 +78,77 @@
             lambda: self._view.current.generation,
         )
         threads = settings.streams + _SPARE_THREADS
-        self._http = HttpServer(self._callers, [settings.http], threads, HTTP_BODY_LIMIT)
+        self._http = HttpServer(self._callers, [settings.http], threads, MAX_HTTP_BODY)
         self._admin = HttpServer(
-            self._answer_admin, [settings.admin], _ADMIN_THREADS, HTTP_BODY_LIMIT
+            self._handle_admin_request, [settings.admin], _ADMIN_THREADS, MAX_HTTP_BODY
         )
 
     def run(self) -> int:
-        """Serve until told to stop, then drain; return the exit code."""
-        signal.signal(signal.SIGTERM, lambda *_: self._leaving.set())
-        signal.signal(signal.SIGINT, lambda *_: self._leaving.set())
+        """Serve until a stop signal, then drain; return the exit code."""
+        signal.signal(signal.SIGTERM, lambda *_: self._stopping.set())
+        signal.signal(signal.SIGINT, lambda *_: self._stopping.set())
         self._watcher.start()
-        self._peers.start()
+        self._pool.start()
         self._http.start()
         self._admin.start()
         _log.info("serving", instance=self._settings.instance, http=self._settings.http)
-        while not self._leaving.wait(1):
+        while not self._stopping.wait(1):
             pass
         self._drain()
         return 0
 
     def _drain(self) -> None:
-        """Leave the balancer, answer what is held, exit."""
-        _log.info("leaving", instance=self._settings.instance)
-        pause = threading.Event()
-        pause.wait(_BALANCER_GRACE / SECOND)
+        """Withdraw readiness, complete the requests in flight and stop all components."""
+        _log.info("draining", instance=self._settings.instance)
+        timer = threading.Event()
+        timer.wait(_BALANCER_GRACE / SECOND)
         while self._callers.in_flight:
-            pause.wait(_POLL / SECOND)
+            timer.wait(_DRAIN_POLL_INTERVAL / SECOND)
         self._http.stop()
         self._admin.stop()
-        self._peers.stop()
+        self._pool.stop()
         self._watcher.stop()
         self._keeper.stop()
-        _log.info("left", instance=self._settings.instance)
+        _log.info("stopped", instance=self._settings.instance)
 
-    def _configured(self, config: FleetConfig) -> None:
+    def _on_config(self, config: FleetConfig) -> None:
         _log.info("configuration in force", generation=config.generation)
-        self._peers.offer_all()
+        self._pool.offer_config_to_all()
 
-    def _not_ready(self) -> str:
-        if self._leaving.is_set():
+    def _not_ready_reason(self) -> str:
+        if self._stopping.is_set():
             return "leaving"
         if not self._view.current.generation:
             return "no configuration yet"
-        if not self._peers.any_connected:
+        if not self._pool.any_connected:
             return "no target is linked"
         return ""
 
     def status(self) -> Status:
-        """Return what this entry can tell of the fleet."""
+        """Return the status of the fleet as seen by this entry."""
         entry = EntryStatus(
             instance=self._settings.instance,
             domain=self._settings.domain,
             generation=self._view.current.generation,
-            leaving=self._leaving.is_set(),
+            leaving=self._stopping.is_set(),
             in_flight=self._callers.in_flight,
-            platform=self._watcher.connected and self._peers.list_fresh,
+            platform=self._watcher.connected and self._pool.instance_list_available,
         )
-        return collect_status(entry, self._peers, self._view)
+        return collect_status(entry, self._pool, self._view)
 
-    def _answer_admin(self, environ: dict[str, Any], start: Callable[..., Any]) -> Iterable[bytes]:
+    def _handle_admin_request(
+        self, environ: dict[str, Any], start_response: Callable[..., Any]
+    ) -> Iterable[bytes]:
         path = environ["PATH_INFO"]
         if path == "/metrics":
             body = self._metrics.all.render().encode()
-            kind = "text/plain; version=0.0.4"
+            content_type = "text/plain; version=0.0.4"
         elif path == "/status":
             body = msgspec.json.encode(self.status())
-            kind = "application/json"
+            content_type = "application/json"
         else:
-            return self._callers(environ, start)
-        start("200 OK", [("Content-Type", kind), ("Content-Length", str(len(body)))])
+            return self._callers(environ, start_response)
+        start_response(
+            "200 OK", [("Content-Type", content_type), ("Content-Length", str(len(body)))]
+        )
         return [body]
--- a/src/canvasyoke/entry/_status.py
+++ b/src/canvasyoke/entry/_status.py
@@ -1,31 +1,31 @@
-"""Collects what an entry tells operators: what is in force and what is wrong."""
+"""Builds the status report of an entry: its view of the fleet, and findings for operators."""
 
 from __future__ import annotations
 
-from canvasyoke.entry._peer import Peer
-from canvasyoke.entry._peers import Peers
+from canvasyoke.entry._peer import TargetClient
+from canvasyoke.entry._peers import TargetPool
 from canvasyoke.protocol import EntryStatus, GroupStatus, Status, TargetStatus
 from canvasyoke.state import ConfigView
 
 
-def collect_status(entry: EntryStatus, peers: Peers, view: ConfigView) -> Status:
-    """Return the status that one entry can see."""
-    targets = [_target_status(peer) for peer in peers.all()]
-    groups = _group_status(peers, view)
-    return Status(entry, targets, groups, _findings(entry, targets, groups, view))
+def collect_status(entry: EntryStatus, pool: TargetPool, view: ConfigView) -> Status:
+    """Return the status of the fleet as seen by one entry."""
+    targets = [_target_status(target) for target in pool.all()]
+    groups = _group_status(pool, view)
+    return Status(entry, targets, groups, _collect_findings(entry, targets, groups, view))
 
 
-def _target_status(peer: Peer) -> TargetStatus:
-    report = peer.report
+def _target_status(target: TargetClient) -> TargetStatus:
+    report = target.report
     return TargetStatus(
-        instance=peer.instance,
+        instance=target.instance,
         domain=report.domain if report else "",
         service=report.service if report else "",
-        connected=peer.connected,
-        fault=peer.fault,
-        leaving=bool(report and report.leaving) or peer.drained,
+        connected=target.connected,
+        fault=target.fault,
+        leaving=bool(report and report.leaving) or target.drained,
         healthy=bool(report and report.healthy),
-        ejected=peer.ejection.ejected,
+        ejected=target.ejection.ejected,
         generation=report.generation if report else 0,
         running=report.running if report else 0,
         queued=report.queued if report else 0,
@@ -34,19 +34,19 @@
     )
 
 
-def _group_status(peers: Peers, view: ConfigView) -> list[GroupStatus]:
+def _group_status(pool: TargetPool, view: ConfigView) -> list[GroupStatus]:
     groups = []
     for name, group in sorted(view.current.groups.items()):
-        reports = [p.report for p in peers.all() if p.report and p.report.group == name]
-        best = max(((r.map_epoch, r.map_number) for r in reports), default=(0, 0))
+        reports = [t.report for t in pool.all() if t.report and t.report.group == name]
+        newest_map = max(((r.map_epoch, r.map_number) for r in reports), default=(0, 0))
         owner = next((r for r in reports if r.owner), None)
         groups.append(
             GroupStatus(
                 group=name,
                 owner=owner.instance if owner else "",
-                epoch=best[0],
-                number=best[1],
-                ranks_on_map=sum((r.map_epoch, r.map_number) == best for r in reports),
+                epoch=newest_map[0],
+                number=newest_map[1],
+                ranks_on_map=sum((r.map_epoch, r.map_number) == newest_map for r in reports),
                 ranks=group.model.ranks,
                 skew=(owner.skew if owner else 0) / 1_000,
                 moves=owner.moves if owner else 0,
@@ -55,7 +55,7 @@
     return groups
 
 
-def _findings(
+def _collect_findings(
     entry: EntryStatus,
     targets: list[TargetStatus],
     groups: list[GroupStatus],
@@ -71,7 +71,7 @@
         findings.append(f"engine {name} is configured but not in the instance list: start it")
     for target in targets:
         findings.extend(_target_findings(target, entry.generation))
-    findings.extend(_key_findings(targets, view))
+    findings.extend(_key_slot_findings(targets, view))
     for group in groups:
         if not group.owner:
             findings.append(f"group {group.group} has no owner: its experts stay where they are")
@@ -81,8 +81,8 @@
     return findings
 
 
-def _key_findings(targets: list[TargetStatus], view: ConfigView) -> list[str]:
-    """Return the services whose requests with keys are refused, in part or all."""
+def _key_slot_findings(targets: list[TargetStatus], view: ConfigView) -> list[str]:
+    """Return a finding for each service with key slots that no connected target holds."""
     findings = []
     for name, service in sorted(view.current.services.items()):
         held = sum(t.key_slots for t in targets if t.service == name and t.connected)
--- a/src/canvasyoke/entry/_watcher.py
+++ b/src/canvasyoke/entry/_watcher.py
@@ -1,4 +1,4 @@
-"""The task that follows the configuration's root in the platform."""
+"""Watches the root of the configuration in the platform's store."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 )
 
 _log = part_logger("config")
-#: Milliseconds one watch waits.
-_WATCH: Final = 20 * SECOND
-_BACKOFF_START: Final = 100
-_BACKOFF_LIMIT: Final = 2 * SECOND
+#: Timeout of one watch in milliseconds.
+_WATCH_TIMEOUT: Final = 20 * SECOND
+_INITIAL_BACKOFF: Final = 100
+_MAX_BACKOFF: Final = 2 * SECOND
 
 
 class ConfigWatcher:
-    """Watches the root and hands each newer snapshot to the keeper."""
+    """Watches the root and passes each new snapshot to the keeper."""
 
     def __init__(
         self,
@@ -42,46 +42,46 @@
         self._adopt = keeper.proxy().adopt
         self._rng = rng
         self._version = 0
-        #: Whether the platform answered the last watch.
+        #: Whether the platform responded to the last watch.
         self.connected = False
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="config", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="config", daemon=True)
 
     def start(self) -> None:
-        """Start the task."""
-        self._task.start()
+        """Start the thread."""
+        self._thread.start()
 
     def stop(self) -> None:
-        """End the task after the watch under way."""
+        """Stop the thread once the current watch returns."""
         self._stop.set()
 
     def _run(self) -> None:
-        backoff = _BACKOFF_START
+        backoff = _INITIAL_BACKOFF
         while not self._stop.is_set():
-            if self._follow_once():
-                backoff = _BACKOFF_START
+            if self._watch_once():
+                backoff = _INITIAL_BACKOFF
                 continue
             self._stop.wait(backoff * self._rng.uniform(0.5, 1.5) / SECOND)
-            backoff = min(backoff * 2, _BACKOFF_LIMIT)
+            backoff = min(backoff * 2, _MAX_BACKOFF)
 
-    def _follow_once(self) -> bool:
-        result = self._platform.watch(ROOT_KEY, self._version, _WATCH)
+    def _watch_once(self) -> bool:
+        result = self._platform.watch(ROOT_KEY, self._version, _WATCH_TIMEOUT)
         if isinstance(result, Unavailable):
-            self._note_connected(False)
+            self._set_connected(False)
             return False
-        self._note_connected(True)
-        return not isinstance(result, Found) or self._take(result)
+        self._set_connected(True)
+        return not isinstance(result, Found) or self._load_and_adopt(result)
 
-    def _take(self, found: Found) -> bool:
-        known = self._view.snapshot.contents if self._view.snapshot else {}
-        snapshot = load_snapshot(self._platform, found.value, known)
+    def _load_and_adopt(self, found: Found) -> bool:
+        cached_contents = self._view.snapshot.contents if self._view.snapshot else {}
+        snapshot = load_snapshot(self._platform, found.value, cached_contents)
         if isinstance(snapshot, Unavailable):
             return False
         self._adopt(snapshot).get()
         self._version = found.version
         return True
 
-    def _note_connected(self, connected: bool) -> None:
+    def _set_connected(self, connected: bool) -> None:
         if connected != self.connected:
-            _log.info("platform answers" if connected else "platform does not answer")
+            _log.info("platform reachable" if connected else "platform unreachable")
         self.connected = connected
--- a/src/canvasyoke/entry/tests/test_peer.py
+++ b/src/canvasyoke/entry/tests/test_peer.py
@@ -1,4 +1,4 @@
-"""Pieces reach their own attempt, once and in order, whatever the link brings."""
+"""Messages reach their own attempt once and in order, also across reconnects."""
 
 import queue
 import random
@@ -7,12 +7,12 @@
 import pytest
 
 from canvasyoke import ManualClock
-from canvasyoke.entry._peer import Attempt, Event, Lost, Peer
+from canvasyoke.entry._peer import Attempt, AttemptLost, Event, TargetClient
 from canvasyoke.protocol import Chunk, End, Head, LoadReport, Message, Resume, Run
 
 
-class Link:
-    """Stands for a session with the target."""
+class FakeSession:
+    """Fake session that records sent messages."""
 
     peer = "t-1"
 
@@ -24,13 +24,13 @@
         self.sent.append(message)
 
 
-def make_link(incarnation: str = "run-1") -> Any:
-    """Return a link, of a type that the peer takes for a session."""
-    return Link(incarnation)
+def make_session(incarnation: str = "run-1") -> Any:
+    """Return a fake session, typed so that it is accepted as a session."""
+    return FakeSession(incarnation)
 
 
-def make_peer() -> Peer:
-    return Peer(
+def make_target() -> TargetClient:
+    return TargetClient(
         "t-1",
         "127.0.0.1:1",
         b"k" * 32,
@@ -38,7 +38,7 @@
         "run",
         ManualClock(),
         random.Random(1),
-        lambda peer: None,
+        lambda target: None,
         lambda offer: None,
         lambda session, generation: None,
     )
@@ -50,21 +50,21 @@
     )
 
 
-class World:
-    """A peer whose link stands, with one attempt under way."""
+class Harness:
+    """A target client with an open link and one attempt in flight."""
 
     def __init__(self) -> None:
-        self.peer = make_peer()
-        self.link = make_link()
-        self.peer._opened(self.link)
+        self.target = make_target()
+        self.session = make_session()
+        self.target._on_open(self.session)
         self.events: queue.SimpleQueue[tuple[Attempt, Event]] = queue.SimpleQueue()
-        attempt = self.peer.begin(make_run(1), self.events)
+        attempt = self.target.start_attempt(make_run(1), self.events)
         assert attempt is not None
         self.attempt = attempt
 
-    def hear(self, *messages: Message) -> list[Event]:
+    def receive(self, *messages: Message) -> list[Event]:
         for message in messages:
-            self.peer._received(self.link, message)
+            self.target._on_message(self.session, message)
         events = []
         while not self.events.empty():
             events.append(self.events.get()[1])
@@ -72,8 +72,8 @@
 
 
 @pytest.fixture
-def world() -> World:
-    return World()
+def harness() -> Harness:
+    return Harness()
 
 
 HEAD = Head(1, 1, 200, [])
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "passed"),
+    ("received", "delivered"),
     [
         ([HEAD, chunk(0), chunk(1), End(1, 1, 2)], [HEAD, chunk(0), chunk(1), End(1, 1, 2)]),
         ([HEAD, HEAD, chunk(0), chunk(0)], [HEAD, chunk(0)]),
@@ -93,35 +93,39 @@
         ([chunk(0, request=2), chunk(0, attempt=2), End(2, 1, 0)], []),
     ],
 )
-def test_what_is_passed_on(world: World, heard: list[Message], passed: list[Event]) -> None:
-    assert world.hear(*heard) == passed
+def test_delivers_messages_once_and_in_order(
+    harness: Harness, received: list[Message], delivered: list[Event]
+) -> None:
+    assert harness.receive(*received) == delivered
 
 
-def test_nothing_of_a_finished_attempt_is_passed_on(world: World) -> None:
-    world.peer.finish(world.attempt, whole=False)
-    assert world.hear(HEAD, chunk(0)) == []
+def test_drops_messages_of_a_finished_attempt(harness: Harness) -> None:
+    harness.target.finish(harness.attempt, completed=False)
+    assert harness.receive(HEAD, chunk(0)) == []
 
 
-def test_link_that_comes_back_goes_on_where_it_broke(world: World) -> None:
-    world.hear(HEAD, chunk(0), chunk(1))
-    world.peer._closed(world.link)
-    assert world.peer.begin(make_run(2), world.events) is None, "nothing is sent into the void"
-    again = make_link()
-    world.peer._opened(again)
-    assert again.sent == [Resume(1, 1, 2)]
+def test_resumes_attempt_after_reconnect(harness: Harness) -> None:
+    harness.receive(HEAD, chunk(0), chunk(1))
+    harness.target._on_close(harness.session)
+    assert harness.target.start_attempt(make_run(2), harness.events) is None, (
+        "attempt started without a link"
+    )
+    new_session = make_session()
+    harness.target._on_open(new_session)
+    assert new_session.sent == [Resume(1, 1, 2)]
 
 
-def test_another_run_of_the_target_has_lost_the_attempt(world: World) -> None:
-    world.peer._closed(world.link)
-    again = make_link("run-2")
-    world.peer._opened(again)
-    assert again.sent == []
-    assert world.hear() == [Lost()]
+def test_attempt_is_lost_if_the_target_restarts(harness: Harness) -> None:
+    harness.target._on_close(harness.session)
+    new_session = make_session("run-2")
+    harness.target._on_open(new_session)
+    assert new_session.sent == []
+    assert harness.receive() == [AttemptLost()]
 
 
-def test_target_without_configuration_is_no_candidate(world: World) -> None:
+def test_target_without_configuration_is_not_a_candidate(harness: Harness) -> None:
     report = LoadReport("t-1", "d", "ink", 0, 0, 8, 0, 0, False, True)
-    world.hear(report)
-    assert world.peer.candidate(8) is None
-    world.hear(LoadReport("t-1", "d", "ink", 0, 0, 8, 0, 1, False, True))
-    assert world.peer.candidate(8) is not None
+    harness.receive(report)
+    assert harness.target.to_candidate(8) is None
+    harness.receive(LoadReport("t-1", "d", "ink", 0, 0, 8, 0, 1, False, True))
+    assert harness.target.to_candidate(8) is not None
