--- a/src/canvasyoke/entry/_lines.py
+++ b/src/canvasyoke/entry/_attempt_group.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from canvasyoke.entry._peer import Attempt
+from canvasyoke.entry._target_client import Attempt
 from canvasyoke.protocol import Outcome, Refusal
 
 
--- a/src/canvasyoke/entry/_dispatch.py
+++ b/src/canvasyoke/entry/_dispatch.py
@@ -20,9 +20,9 @@
     RouteRequest,
     decide_retry,
 )
-from canvasyoke.entry._lines import AttemptGroup
-from canvasyoke.entry._peer import Attempt, AttemptLost, Event, Events, TargetClient
-from canvasyoke.entry._peers import TargetPool
+from canvasyoke.entry._attempt_group import AttemptGroup
+from canvasyoke.entry._target_client import Attempt, AttemptLost, Event, Events, TargetClient
+from canvasyoke.entry._target_pool import TargetPool
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     Chunk,
--- a/src/canvasyoke/entry/_process.py
+++ b/src/canvasyoke/entry/_process.py
@@ -15,8 +15,8 @@
 from canvasyoke.entry._callers import MAX_HTTP_BODY, CallerApp
 from canvasyoke.entry._dispatch import Dispatcher
 from canvasyoke.entry._metrics import EntryMetrics
-from canvasyoke.entry._peers import TargetPool
 from canvasyoke.entry._status import collect_status
+from canvasyoke.entry._target_pool import TargetPool
 from canvasyoke.entry._watcher import ConfigWatcher
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import EntryStatus, Status
--- a/src/canvasyoke/entry/_status.py
+++ b/src/canvasyoke/entry/_status.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from canvasyoke.entry._peer import TargetClient
-from canvasyoke.entry._peers import TargetPool
+from canvasyoke.entry._target_client import TargetClient
+from canvasyoke.entry._target_pool import TargetPool
 from canvasyoke.protocol import EntryStatus, GroupStatus, Status, TargetStatus
 from canvasyoke.state import ConfigView
 
--- a/src/canvasyoke/entry/_peers.py
+++ b/src/canvasyoke/entry/_target_pool.py
@@ -18,7 +18,7 @@
     filter_candidates,
     slot_of,
 )
-from canvasyoke.entry._peer import TargetClient
+from canvasyoke.entry._target_client import TargetClient
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import ConfigOffer, ConfigWanted, Reason
 from canvasyoke.state import (
--- a/src/canvasyoke/entry/tests/test_peer.py
+++ b/src/canvasyoke/entry/tests/test_target_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from canvasyoke import ManualClock
-from canvasyoke.entry._peer import Attempt, AttemptLost, Event, TargetClient
+from canvasyoke.entry._target_client import Attempt, AttemptLost, Event, TargetClient
 from canvasyoke.protocol import Chunk, End, Head, LoadReport, Message, Resume, Run
 
 
