--- a/src/canvasyoke/entry/_dispatch.py
+++ b/src/canvasyoke/entry/_dispatch.py
@@ -85,8 +85,8 @@
     resumable: bool
     #: Returns whether the caller has disconnected.
     is_disconnected: Callable[[], bool]
-    #: Generates a new key; ``None`` if the caller supplied the key or an attempt with it may
-    #: have run.
+    #: Generates a replacement for a key that the entry generated and with which no attempt may
+    #: have run; ``None`` otherwise.
     renew_key: Callable[[], str] | None
     #: Events received by all attempts.
     events: Events = field(default_factory=queue.SimpleQueue)
