--- a/src/canvasyoke/target/__init__.py
+++ b/src/canvasyoke/target/__init__.py
@@ -1,4 +1,4 @@
-"""The target role: the one small process beside an engine or plain service."""
+"""The target role: the process that runs next to one engine or plain service."""
 
 from canvasyoke.target._process import TargetProcess
 
--- a/src/canvasyoke/target/_desk.py
+++ b/src/canvasyoke/target/_desk.py
@@ -1,4 +1,4 @@
-"""The one task of a target that decides what runs, waits, joins or is refused."""
+"""The actor that admits, queues, joins and refuses the requests of a target."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import MalformedKeyError, Outcome, Reason, Refusal, Run, key_time
 from canvasyoke.state import ConfigView, Engine, FleetConfig, Service
-from canvasyoke.target._homes import NOTHING, Holding, SlotUser, Surrendered
-from canvasyoke.target._ids import AttemptId, SeenIds
-from canvasyoke.target._lease_keeper import LeaseKeeper
+from canvasyoke.target._homes import NO_SLOTS, Holding, ReleasedKeys, SlotConsumer
+from canvasyoke.target._ids import AttemptId, SeenAttempts
+from canvasyoke.target._lease_keeper import LeaseManager
 from canvasyoke.target._work import Reader, Work, WorkState
 from canvasyoke.transport import Session
 
 _log = part_logger("desk")
-#: Milliseconds an answer is kept for an entry whose link broke.
-_KEEP_ENDED: Final = 30 * SECOND
-#: Milliseconds after which work that nobody waits for is cancelled.
-_ORPHANED: Final = 5 * SECOND
-#: Milliseconds a slot is held for an entry that has been told it is ready.
-_READY_LIMIT: Final = 300
+#: Milliseconds a finished answer is kept for an entry that reconnects.
+_ENDED_RETENTION: Final = 30 * SECOND
+#: Milliseconds without a reader after which a request is cancelled.
+_ORPHAN_TIMEOUT: Final = 5 * SECOND
+#: Milliseconds a slot stays reserved after the entry is notified.
+_READY_TIMEOUT: Final = 300
 
 
 @dataclass(frozen=True, slots=True)
-class DeskLoad:
-    """What the desk holds now."""
+class SchedulerLoad:
+    """Load of the scheduler, for reports."""
 
     running: int
     queued: int
@@ -51,17 +51,20 @@
 
 
 @dataclass(slots=True)
-class _Entry:
-    """A request the desk knows of."""
+class _TrackedRequest:
+    """A request with its queue item."""
 
     work: Work
-    waiting: QueuedRequest[Work]
-    #: Time since which nobody has waited for it; 0 while somebody does.
-    orphaned: int = 0
+    queue_item: QueuedRequest[Work]
+    #: Clock time since which it has had no reader; 0 while it has one.
+    orphaned_since: int = 0
 
 
-class Desk(CriticalActor):
-    """Owns the queue, the key memory and the attempts seen; has no locks."""
+class RequestScheduler(CriticalActor):
+    """Owns the queue, the idempotency cache and the attempts seen.
+
+    All state is confined to the actor's thread, so no locks are needed.
+    """
 
     def __init__(
         self,
@@ -70,8 +73,8 @@
         clock: Clock,
         view: ConfigView,
         backend: Backend,
-        lease: LeaseKeeper,
-        on_load: Callable[[DeskLoad], None],
+        lease: LeaseManager,
+        on_load: Callable[[SchedulerLoad], None],
     ) -> None:
         super().__init__()
         self._service = service
@@ -81,51 +84,54 @@
         self._backend = backend
         self._lease = lease
         self._on_load = on_load
-        self._holding = NOTHING
+        self._holding = NO_SLOTS
         self._queue: FairQueue[Work] = FairQueue(clock, slots=1, limit=0)
-        self._memory = IdempotencyCache()
+        self._idempotency_cache = IdempotencyCache()
         self._joinable: dict[str, Work] = {}
-        self._known: dict[AttemptId, _Entry] = {}
-        self._seen = SeenIds()
-        self._leaving = False
-        self._pool = ThreadPoolExecutor(max_workers=4_096, thread_name_prefix="call")
+        self._tracked: dict[AttemptId, _TrackedRequest] = {}
+        self._seen = SeenAttempts()
+        self._draining = False
+        self._executor = ThreadPoolExecutor(max_workers=4_096, thread_name_prefix="call")
 
-    # What other tasks ask of the desk. Each method is one message of the actor.
+    # Messages of the actor
 
-    def configured(self, config: FleetConfig) -> None:
-        """Take over the bounds of a new configuration."""
+    def apply_config(self, config: FleetConfig) -> None:
+        """Apply the queue limits of a new configuration."""
         engine = config.engines.get(self._instance)
         if engine is not None:
-            self._settle(self._queue.resize(engine.model.slots, engine.model.queue))
+            self._apply_queue_update(self._queue.resize(engine.model.slots, engine.model.queue))
 
-    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
-        """Take over the slots now held, and what a former holder ran."""
-        self._memory.import_entries(inherited)
+    def apply_holding(self, holding: Holding, inherited_keys: Sequence[HandoverEntry]) -> None:
+        """Set the held slots and import the keys that their previous holders ran."""
+        self._idempotency_cache.import_entries(inherited_keys)
         self._holding = holding
-        self._tell_load()
-
-    def surrender(self, holding: Holding, slots: Sequence[int]) -> Surrendered:
-        """Keep to ``holding``; return what is known of ``slots``."""
-        keys = {slot: self._memory.export_entries(slot, self._holding.count) for slot in slots}
+        self._report_load()
+
+    def release_slots(self, holding: Holding, slots: Sequence[int]) -> ReleasedKeys:
+        """Restrict use to ``holding``; return the known keys of ``slots``."""
+        keys = {
+            slot: self._idempotency_cache.export_entries(slot, self._holding.count)
+            for slot in slots
+        }
         self._holding = holding
-        self._tell_load()
-        return Surrendered(keys, self._memory.dropped_before)
+        self._report_load()
+        return ReleasedKeys(keys, self._idempotency_cache.dropped_before)
 
-    def leave(self) -> None:
-        """Refuse new work from now on; what has been taken is finished."""
-        self._leaving = True
-        self._tell_load()
+    def stop_admitting(self) -> None:
+        """Refuse new requests from now on; accepted ones are completed."""
+        self._draining = True
+        self._report_load()
 
-    def idle(self) -> bool:
-        """Tell whether nothing runs or waits."""
+    def is_idle(self) -> bool:
+        """Return whether no request is running or queued."""
         return not self._queue.running and not self._queue.waiting
 
-    def load(self) -> DeskLoad:
-        """Return what the desk holds now."""
-        return DeskLoad(self._queue.running, self._queue.waiting, self._queue.duration)
+    def load(self) -> SchedulerLoad:
+        """Return the current load."""
+        return SchedulerLoad(self._queue.running, self._queue.waiting, self._queue.duration)
 
     def submit(self, session: Session, run: Run) -> None:
-        """Run a request, join it to one that runs, or refuse it."""
+        """Admit a request, attach it to an equal one, or refuse it."""
         attempt = AttemptId(session.incarnation, run.request, run.attempt)
         if attempt in self._seen:
             return
@@ -136,74 +142,74 @@
             reader.refuse(refusal)
 
     def resume(self, session: Session, request: int, attempt: int, offset: int) -> None:
-        """Send an answer again from ``offset``, after a link broke."""
+        """Resend an answer from ``offset`` after the link was re-established."""
         key = AttemptId(session.incarnation, request, attempt)
         reader = Reader(session, request, attempt)
-        entry = self._known.get(key)
-        if entry is not None:
-            entry.orphaned = 0
-            entry.work.attach(reader, offset)
+        tracked = self._tracked.get(key)
+        if tracked is not None:
+            tracked.orphaned_since = 0
+            tracked.work.attach(reader, offset)
             return
         if key in self._seen:
             detail = "the answer is no longer kept"
             reader.refuse(Refusal(Outcome.UNKNOWN, Reason.LINK_LOST, detail))
             return
-        # The request never came here. Remembering it as seen makes that final:
-        # a copy still on its way will not run.
+        # The request never arrived. Marking it as seen ensures that a delayed copy of it is not
+        # executed after this refusal.
         self._seen.add(key)
         detail = "the request did not arrive and will not run"
         reader.refuse(Refusal(Outcome.NOT_RUN, Reason.LINK_LOST, detail))
 
     def cancel(self, session: Session, request: int, attempt: int) -> None:
-        """Stop what only this attempt waited for, as far as it can be stopped."""
-        entry = self._known.get(AttemptId(session.incarnation, request, attempt))
-        if entry is None or entry.work.state is WorkState.ENDED:
+        """Detach an attempt; cancel the request if it has no other reader and can be stopped."""
+        tracked = self._tracked.get(AttemptId(session.incarnation, request, attempt))
+        if tracked is None or tracked.work.state is WorkState.ENDED:
             return
-        entry.work.detach(request, attempt)
-        if entry.work.has_readers:
+        tracked.work.detach(request, attempt)
+        if tracked.work.has_readers:
             return
         refusal = Refusal(Outcome.NOT_RUN, Reason.CANCELLED, "cancelled before it ran")
-        if self._queue.remove(entry.waiting):
-            self._end_unrun(entry.work, refusal)
+        if self._queue.remove(tracked.queue_item):
+            self._refuse_unrun(tracked.work, refusal)
             Reader(session, request, attempt).refuse(refusal)
-        elif entry.work.state is WorkState.READY:
-            self._decline(entry, refusal)
-        elif entry.work.run.repeatable:
-            entry.work.cancel()
+        elif tracked.work.state is WorkState.READY:
+            self._release_reserved_slot(tracked, refusal)
+        elif tracked.work.run.repeatable:
+            tracked.work.cancel()
 
-    def go(self, session: Session, request: int, attempt: int) -> None:
-        """Run a request whose slot was held for it."""
-        entry = self._known.get(AttemptId(session.incarnation, request, attempt))
-        if entry is not None and entry.work.state is WorkState.READY:
-            self._run(entry.waiting)
+    def start_reserved(self, session: Session, request: int, attempt: int) -> None:
+        """Start a request that has a reserved slot."""
+        tracked = self._tracked.get(AttemptId(session.incarnation, request, attempt))
+        if tracked is not None and tracked.work.state is WorkState.READY:
+            self._start_call(tracked.queue_item)
 
     def forget(self, session: Session, request: int, attempt: int) -> None:
-        """Let go of an answer that arrived whole."""
-        self._known.pop(AttemptId(session.incarnation, request, attempt), None)
+        """Drop an answer that the entry has received completely."""
+        self._tracked.pop(AttemptId(session.incarnation, request, attempt), None)
 
-    def ended(self, waiting: QueuedRequest[Work], refusal: Refusal | None) -> None:
-        """Note that the backend is done with a request."""
-        work = waiting.item
+    def finish_call(self, queued: QueuedRequest[Work], refusal: Refusal | None) -> None:
+        """Record the result of a backend call and start the next requests."""
+        work = queued.item
         now = self._clock.now()
         if refusal is None:
             work.end(now)
         else:
             work.refuse(refusal, now)
-        self._remember(work, refusal)
-        self._settle(self._queue.finish(waiting))
-        self._tell_load()
+        self._record_outcome(work, refusal)
+        self._apply_queue_update(self._queue.finish(queued))
+        self._report_load()
 
     def tick(self) -> None:
-        """Refuse what is late, cancel what nobody wants, forget what is old."""
-        self._settle(self._queue.expire())
+        """Refuse overdue requests, cancel orphaned ones, and evict old answers and keys."""
+        self._apply_queue_update(self._queue.expire())
         now = self._clock.now()
-        for key, entry in list(self._known.items()):
-            self._look_after(key, entry, now)
+        for key, tracked in list(self._tracked.items()):
+            self._check_tracked(key, tracked, now)
         service = self._view.current.services.get(self._service)
         if service is not None:
-            self._memory.evict(self._clock.wall() - service.model.answer_keep_ms)
+            self._idempotency_cache.evict(self._clock.wall() - service.model.answer_keep_ms)
 
-    # How the desk goes about it.
+    # Internals
 
     def _admit(self, run: Run, attempt: AttemptId, reader: Reader) -> Refusal | None:
         config = self._view.current
@@ -216,19 +222,19 @@
             return Refusal(Outcome.NOT_RUN, Reason.UNKNOWN_SERVICE, "not this target's service")
         digest = _digest(run)
         if not run.repeatable:
-            return self._admit_once(run, attempt, reader, service, engine, digest)
+            return self._admit_keyed(run, attempt, reader, service, engine, digest)
         joined = self._joinable.get(_join_key(run, digest)) if run.key else None
         if joined is not None:
             self._join(joined, attempt, reader, run)
             return None
-        if self._leaving:
-            return _leaving()
-        work = self._begin(run, attempt, reader, engine)
+        if self._draining:
+            return _leaving_refusal()
+        work = self._enqueue_new(run, attempt, reader, engine)
         if run.key and work.state is not WorkState.ENDED:
             self._joinable[_join_key(run, digest)] = work
         return None
 
-    def _admit_once(
+    def _admit_keyed(
         self,
         run: Run,
         attempt: AttemptId,
@@ -237,44 +243,44 @@
         engine: Engine,
         digest: bytes,
     ) -> Refusal | None:
-        """Admit a request that must not run twice."""
+        """Admit a non-repeatable request, at most once per key."""
         try:
-            made = key_time(run.key)
+            key_made_at = key_time(run.key)
         except MalformedKeyError as exc:
             return Refusal(Outcome.NOT_RUN, Reason.MALFORMED, str(exc))
-        view = HolderState(
+        holder = HolderState(
             held_slots=self._holding.slots,
             slot_count=self._holding.count,
             lease_valid=self._lease.valid,
             wall_time=self._clock.wall(),
             retention=service.model.answer_keep_ms,
         )
-        req = KeyedRequest(run.key, run.organisation, made, digest)
-        verdict = check_key(req, view, self._memory)
-        if verdict.refusal is not None:
-            return verdict.refusal
-        if verdict.record is not None and isinstance(verdict.record.work, Work):
-            self._join(verdict.record.work, attempt, reader, run)
+        keyed_request = KeyedRequest(run.key, run.organisation, key_made_at, digest)
+        decision = check_key(keyed_request, holder, self._idempotency_cache)
+        if decision.refusal is not None:
+            return decision.refusal
+        if decision.record is not None and isinstance(decision.record.work, Work):
+            self._join(decision.record.work, attempt, reader, run)
             return None
-        if self._leaving:
-            return _leaving()
+        if self._draining:
+            return _leaving_refusal()
         work = self._new_work(run)
-        self._memory.begin(req.name, req.made, digest, work)
-        self._enter(work, attempt, reader, engine)
+        self._idempotency_cache.begin(keyed_request.name, keyed_request.made, digest, work)
+        self._enqueue(work, attempt, reader, engine)
         return None
 
-    def _begin(self, run: Run, attempt: AttemptId, reader: Reader, engine: Engine) -> Work:
+    def _enqueue_new(self, run: Run, attempt: AttemptId, reader: Reader, engine: Engine) -> Work:
         work = self._new_work(run)
-        self._enter(work, attempt, reader, engine)
+        self._enqueue(work, attempt, reader, engine)
         return work
 
     def _new_work(self, run: Run) -> Work:
         return Work(run, self._clock.now() + run.remaining)
 
-    def _enter(self, work: Work, attempt: AttemptId, reader: Reader, engine: Engine) -> None:
-        """Offer work to the queue."""
+    def _enqueue(self, work: Work, attempt: AttemptId, reader: Reader, engine: Engine) -> None:
+        """Offer a request to the queue."""
         organisation = self._view.current.organisations.get(work.run.organisation)
-        waiting = QueuedRequest(
+        queued = QueuedRequest(
             item=work,
             organisation=work.run.organisation,
             share=organisation.model.share if organisation else 1,
@@ -283,118 +289,120 @@
             arrived=self._clock.now(),
             deadline=work.deadline,
         )
-        self._known[attempt] = _Entry(work, waiting)
+        self._tracked[attempt] = _TrackedRequest(work, queued)
         work.attach(reader, work.run.offset)
-        self._settle(self._queue.offer(waiting))
+        self._apply_queue_update(self._queue.offer(queued))
         if work.state is WorkState.WAITING and not work.run.standby:
-            work.tell_queued()
-        self._tell_load()
+            work.notify_queued()
+        self._report_load()
 
     def _join(self, work: Work, attempt: AttemptId, reader: Reader, run: Run) -> None:
-        """Let another attempt read the answer of work that is under way or done."""
-        waiting = next((e.waiting for e in self._known.values() if e.work is work), None)
-        if waiting is None:
-            waiting = QueuedRequest(work, run.organisation, 1, 0, run.priority, 0, work.deadline)
-        self._known[attempt] = _Entry(work, waiting)
+        """Attach another attempt to a request that is queued, running or done."""
+        queued = next((e.queue_item for e in self._tracked.values() if e.work is work), None)
+        if queued is None:
+            queued = QueuedRequest(work, run.organisation, 1, 0, run.priority, 0, work.deadline)
+        self._tracked[attempt] = _TrackedRequest(work, queued)
         work.attach(reader, run.offset)
 
-    def _settle(self, offer: QueueUpdate[Work]) -> None:
-        """Start and refuse what the queue decided."""
-        for waiting, refusal in offer.refused:
-            self._end_unrun(waiting.item, refusal)
-        for waiting in offer.started:
-            work = waiting.item
+    def _apply_queue_update(self, update: QueueUpdate[Work]) -> None:
+        """Start and refuse requests as decided by the queue."""
+        for queued, refusal in update.refused:
+            self._refuse_unrun(queued.item, refusal)
+        for queued in update.started:
+            work = queued.item
             if work.run.standby:
                 work.state = WorkState.READY
                 work.ready_at = self._clock.now()
-                work.tell_ready()
+                work.notify_ready()
                 continue
-            work.tell_started()
-            self._run(waiting)
+            work.notify_started()
+            self._start_call(queued)
 
-    def _run(self, waiting: QueuedRequest[Work]) -> None:
-        waiting.item.state = WorkState.RUNNING
-        self._pool.submit(self._call, waiting)
+    def _start_call(self, queued: QueuedRequest[Work]) -> None:
+        queued.item.state = WorkState.RUNNING
+        self._executor.submit(self._call, queued)
 
-    def _decline(self, entry: _Entry, refusal: Refusal) -> None:
-        """Give back a slot that was held for an entry that does not want it."""
-        self._end_unrun(entry.work, refusal)
-        self._settle(self._queue.release_unused(entry.waiting))
+    def _release_reserved_slot(self, tracked: _TrackedRequest, refusal: Refusal) -> None:
+        """Refuse a request and release the slot reserved for it."""
+        self._refuse_unrun(tracked.work, refusal)
+        self._apply_queue_update(self._queue.release_unused(tracked.queue_item))
 
-    def _tell_load(self) -> None:
+    def _report_load(self) -> None:
         self._on_load(self.load())
 
-    def _end_unrun(self, work: Work, refusal: Refusal) -> None:
+    def _refuse_unrun(self, work: Work, refusal: Refusal) -> None:
         work.refuse(refusal, self._clock.now())
-        self._remember(work, refusal)
+        self._record_outcome(work, refusal)
 
-    def _remember(self, work: Work, refusal: Refusal | None) -> None:
-        """Keep what later attempts with the same key need to know."""
+    def _record_outcome(self, work: Work, refusal: Refusal | None) -> None:
+        """Record the outcome for later attempts with the same key."""
         run = work.run
         if run.repeatable:
             if run.key:
                 self._joinable.pop(_join_key(run, _digest(run)), None)
             return
         if refusal is not None and refusal.outcome is Outcome.NOT_RUN:
-            self._memory.discard(_memory_key(run))
+            self._idempotency_cache.discard(_record_name(run))
         else:
-            self._memory.finish(_memory_key(run), work.size)
+            self._idempotency_cache.finish(_record_name(run), work.size)
 
-    def _call(self, waiting: QueuedRequest[Work]) -> None:
-        """Run one request on the backend; on a task of its own."""
-        work = waiting.item
+    def _call(self, queued: QueuedRequest[Work]) -> None:
+        """Execute a request on the backend; runs in a thread of the executor."""
+        work = queued.item
         refusal: Refusal | None
         try:
             end = self._backend.call(work.run, work)
             refusal = None if isinstance(end, Done) else end.refusal
-        except Exception as exc:  # a fault of an adapter must not lose the request
+        except Exception as exc:  # an adapter bug must not leave the request unanswered
             _log.error("backend adapter failed", request_id=work.run.request_id, fault=repr(exc))
             refusal = Refusal(Outcome.UNKNOWN, Reason.BACKEND_FAILED, "fault in the adapter")
-        self.actor_ref.proxy().ended.defer(waiting, refusal)
+        self.actor_ref.proxy().finish_call.defer(queued, refusal)
 
-    def _look_after(self, key: AttemptId, entry: _Entry, now: int) -> None:
-        work = entry.work
+    def _check_tracked(self, key: AttemptId, tracked: _TrackedRequest, now: int) -> None:
+        work = tracked.work
         if work.state is WorkState.ENDED:
-            if now - work.ended_at > _KEEP_ENDED:
-                del self._known[key]
-        elif work.state is WorkState.READY and now - work.ready_at > _READY_LIMIT:
+            if now - work.ended_at > _ENDED_RETENTION:
+                del self._tracked[key]
+        elif work.state is WorkState.READY and now - work.ready_at > _READY_TIMEOUT:
             detail = "the entry did not take the slot held for it"
-            self._decline(entry, Refusal(Outcome.NOT_RUN, Reason.CANCELLED, detail))
+            self._release_reserved_slot(tracked, Refusal(Outcome.NOT_RUN, Reason.CANCELLED, detail))
         elif work.has_readers:
-            entry.orphaned = 0
-        elif not entry.orphaned:
-            entry.orphaned = now
-        elif now - entry.orphaned > _ORPHANED:
-            self._drop_orphan(entry)
-
-    def _drop_orphan(self, entry: _Entry) -> None:
-        if self._queue.remove(entry.waiting):
+            tracked.orphaned_since = 0
+        elif not tracked.orphaned_since:
+            tracked.orphaned_since = now
+        elif now - tracked.orphaned_since > _ORPHAN_TIMEOUT:
+            self._cancel_orphan(tracked)
+
+    def _cancel_orphan(self, tracked: _TrackedRequest) -> None:
+        if self._queue.remove(tracked.queue_item):
             detail = "nobody waited for it any more"
-            self._end_unrun(entry.work, Refusal(Outcome.NOT_RUN, Reason.CANCELLED, detail))
-        elif entry.work.run.repeatable:
-            entry.work.cancel()
+            self._refuse_unrun(tracked.work, Refusal(Outcome.NOT_RUN, Reason.CANCELLED, detail))
+        elif tracked.work.run.repeatable:
+            tracked.work.cancel()
 
 
-class DeskSlots(SlotUser):
-    """The desk as the task that keeps its slots sees it."""
+class SchedulerSlots(SlotConsumer):
+    """Adapts the scheduler actor to the slot manager's interface."""
 
-    def __init__(self, desk: pykka.ActorRef[Desk], on_change: Callable[[Holding], None]) -> None:
-        self._desk = desk.proxy()
+    def __init__(
+        self, scheduler: pykka.ActorRef[RequestScheduler], on_change: Callable[[Holding], None]
+    ) -> None:
+        self._scheduler = scheduler.proxy()
         self._on_change = on_change
 
-    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
-        """Use these slots from now on."""
-        self._desk.hold(holding, inherited).get()
+    def apply_holding(self, holding: Holding, inherited_keys: Sequence[HandoverEntry]) -> None:
+        """Set the held slots."""
+        self._scheduler.apply_holding(holding, inherited_keys).get()
         self._on_change(holding)
 
-    def surrender(self, holding: Holding, slots: Iterable[int]) -> Surrendered:
-        """Use no more than ``holding``."""
-        surrendered: Surrendered = self._desk.surrender(holding, list(slots)).get()
+    def release_slots(self, holding: Holding, slots: Iterable[int]) -> ReleasedKeys:
+        """Restrict use to ``holding``; return the known keys of ``slots``."""
+        released: ReleasedKeys = self._scheduler.release_slots(holding, list(slots)).get()
         self._on_change(holding)
-        return surrendered
+        return released
 
 
-def _leaving() -> Refusal:
+def _leaving_refusal() -> Refusal:
     return Refusal(Outcome.NOT_RUN, Reason.LEAVING, "the target is leaving", 100)
 
 
@@ -410,5 +418,5 @@
     return f"{run.organisation}/{run.key}/{digest.hex()}"
 
 
-def _memory_key(run: Run) -> str:
+def _record_name(run: Run) -> str:
     return KeyedRequest(run.key, run.organisation, 0, b"").name
--- a/src/canvasyoke/target/_homes.py
+++ b/src/canvasyoke/target/_homes.py
@@ -1,12 +1,11 @@
-"""The task that keeps a target's lease and its share of a service's key slots.
+"""Maintains a target's lease and its share of a service's key slots.
 
-Only targets of services with non-repeatable requests run it. All it knows comes
-from the platform; with the platform out, the lease runs down and the slots stand
-still, since nobody else can take them either.
+Only targets of services with non-repeatable requests need it. All state is in the platform's
+store: during an outage of the store the lease expires, and slots are not reassigned.
 
-A slot changes hands in one of two ways. Its holder gives it back, with a list of
-the keys it ran, and the next holder goes on as if it had run them itself. Or its
-holder's lease lapses, and the next holder refuses every key made before it came.
+A slot moves to another holder in one of two ways. Either its holder releases it with a list of
+the keys that it ran, and the next holder treats them as its own. Or its holder's lease expires,
+and the next holder refuses every key created before it took the slot.
 """
 
 from __future__ import annotations
@@ -25,66 +24,64 @@
 from canvasyoke.coordination import CLOCK_MARGIN, HandoverEntry, Slot, SlotTable
 from canvasyoke.observe import part_logger
 from canvasyoke.state import CREATE, Absent, Platform, Unavailable, Written
-from canvasyoke.target._handovers import Handovers
-from canvasyoke.target._lease_keeper import LeaseKeeper
+from canvasyoke.target._handovers import HandoverStore
+from canvasyoke.target._lease_keeper import LeaseManager
 
 _log = part_logger("homes")
 _TABLE_PREFIX: Final = "homes/"
-#: Milliseconds between readings of the slot table.
-LOOK_EVERY: Final = 1 * SECOND
-#: The same while slots are on their way here. Keys of a slot that was given back wait for
-#: its next holder: with a store that answers at once up to 1.1 s by readings a second apart.
-_LOOK_AGAIN: Final = 200
-#: Milliseconds between readings of all leases while no slot is free.
-_LEASES_EVERY: Final = 3 * SECOND
-_RELEASE_TRIES: Final = 5
+#: Milliseconds between reads of the slot table.
+POLL_INTERVAL: Final = 1 * SECOND
+#: The same while slots are expected from other holders. Requests for a released slot wait until
+#: its next holder reads the table.
+_FAST_POLL_INTERVAL: Final = 200
+#: Milliseconds between reads of all leases while the slot assignment is unchanged.
+_LEASE_SCAN_INTERVAL: Final = 3 * SECOND
+_RELEASE_ATTEMPTS: Final = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """What one target holds; replaced as a whole when it changes."""
+    """Slots held by one target; immutable."""
 
     epoch: int
     slots: dict[int, Slot]
-    #: Slots in the service's table; 0 before it is known.
+    #: Number of slots in the service's table; 0 before the table is read.
     count: int
 
 
-#: A slot whose holder is gone without a word.
-_LAPSED: Final = Slot(used=True)
+#: A free slot whose last holder left no handover.
+_EXPIRED_SLOT: Final = Slot(used=True)
 
-#: Nothing is held.
-NOTHING: Final = Holding(0, {}, 0)
+NO_SLOTS: Final = Holding(0, {}, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Surrendered:
-    """What the desk knew of the slots it let go."""
+class ReleasedKeys:
+    """Keys of released slots, for their next holders."""
 
-    #: Keys that ran or run, by slot.
+    #: Keys that have run or are running, by slot.
     keys: dict[int, list[HandoverEntry]]
-    #: Wall time before which keys may have been forgotten.
-    forgotten_before: int
+    #: Keys made before this wall time may have been dropped from ``keys``.
+    dropped_before: int
 
 
-class SlotUser(ABC):
-    """Runs requests with keys of the slots held: the desk.
+class SlotConsumer(ABC):
+    """Executes the requests whose keys fall into held slots.
 
-    Both methods return only when their effect is complete, since the platform is
-    told of it next.
+    Both methods must return only after taking effect, because the slot table is written next.
     """
 
     @abstractmethod
-    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
-        """Use these slots from now on; the inherited keys have run."""
+    def apply_holding(self, holding: Holding, inherited_keys: Sequence[HandoverEntry]) -> None:
+        """Use the slots of ``holding``; treat ``inherited_keys`` as already run."""
 
     @abstractmethod
-    def surrender(self, holding: Holding, slots: Iterable[int]) -> Surrendered:
-        """Use no more than ``holding``; return what is known of ``slots``."""
+    def release_slots(self, holding: Holding, slots: Iterable[int]) -> ReleasedKeys:
+        """Restrict use to ``holding``; return the known keys of ``slots``."""
 
 
-class HomeKeeper:
-    """Renews the lease, takes free slots and gives back what is too many."""
+class SlotManager:
+    """Renews the lease, takes free slots and releases slots beyond the fair share."""
 
     def __init__(
         self,
@@ -92,53 +89,53 @@
         clock: Clock,
         service: str,
         instance: str,
-        slots: Callable[[], int],
-        user: SlotUser,
-        lease: LeaseKeeper,
+        slot_count: Callable[[], int],
+        consumer: SlotConsumer,
+        lease: LeaseManager,
     ) -> None:
         self._lease = lease
         self._platform = platform
         self._clock = clock
         self._service = service
         self._instance = instance
-        self._slots = slots
-        self._user = user
-        self._handovers = Handovers(platform, service)
-        self._live: dict[str, str] = {}
-        self._live_read = -_LEASES_EVERY
-        self._holding = NOTHING
-        #: Milliseconds until the next step.
-        self.pause = LOOK_EVERY
+        self._slot_count = slot_count
+        self._consumer = consumer
+        self._handover_store = HandoverStore(platform, service)
+        self._live_holders: dict[str, str] = {}
+        self._live_holders_read_at = -_LEASE_SCAN_INTERVAL
+        self._holding = NO_SLOTS
+        #: Milliseconds to wait before the next step.
+        self.poll_delay = POLL_INTERVAL
         self._stop = threading.Event()
-        self._task = threading.Thread(target=self._run, name="homes", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="homes", daemon=True)
 
     def start(self) -> None:
-        """Start the task."""
-        self._task.start()
+        """Start the thread."""
+        self._thread.start()
 
     @property
     def holding(self) -> Holding:
-        """Return what is held now."""
+        """Return the slots held now."""
         return self._holding
 
     def release(self) -> None:
-        """End the task, hand all slots over and give the lease back."""
+        """Stop the thread, release all slots with handovers, and release the lease."""
         self._stop.set()
-        if self._task.is_alive():
-            self._task.join()
-        for _ in range(_RELEASE_TRIES):
-            if not self._holding.slots or self._give_all_back():
+        if self._thread.is_alive():
+            self._thread.join()
+        for _ in range(_RELEASE_ATTEMPTS):
+            if not self._holding.slots or self._release_all():
                 break
-        self._lease.end()
+        self._lease.release()
 
-    def _give_all_back(self) -> bool:
+    def _release_all(self) -> bool:
         table, version = self._read_table(self._holding.count)
         if table is None:
             return False
-        wanted = list(table.slots)
+        assigned = list(table.slots)
         for index in table.held_by(self._instance, self._lease.incarnation):
-            wanted[index] = _LAPSED
-        return self._change_table(table, wanted, version)
+            assigned[index] = _EXPIRED_SLOT
+        return self._update_table(table, assigned, version)
 
     @property
     def _table_key(self) -> str:
@@ -146,41 +143,44 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            count = self._slots()
+            count = self._slot_count()
             if count:
                 self.step(count)
-            self._stop.wait(self.pause / SECOND)
+            self._stop.wait(self.poll_delay / SECOND)
 
     def step(self, count: int) -> None:
-        """Renew the lease if it is time, then look at the slots once."""
-        self.pause = LOOK_EVERY
-        if not self._lease.keep():
-            self._publish(NOTHING)
+        """Renew the lease if it is due, then rebalance the slots once."""
+        self.poll_delay = POLL_INTERVAL
+        if not self._lease.renew_if_due():
+            self._apply_holding(NO_SLOTS)
         if self._lease.valid:
-            self._look(count)
+            self._rebalance(count)
 
-    def _look(self, count: int) -> None:
-        """Read the table; free what lapsed, take or give back slots."""
+    def _rebalance(self, count: int) -> None:
+        """Read the table; free expired slots, and take or release slots as needed."""
         table, version = self._read_table(count)
         if table is None:
             return
-        if self._clock.now() - self._live_read >= _LEASES_EVERY and not self._read_live():
+        if (
+            self._clock.now() - self._live_holders_read_at >= _LEASE_SCAN_INTERVAL
+            and not self._refresh_live_holders()
+        ):
             return
-        if self._arrange(table) == table.slots and version:
-            self._publish_table(table)
-            if self._is_owed(table):
-                self.pause = _LOOK_AGAIN
+        if self._assign_slots(table) == table.slots and version:
+            self._apply_table(table)
+            if self._expects_slots(table):
+                self.poll_delay = _FAST_POLL_INTERVAL
             return
-        # Something is to change. The leases must have been read after the table: by
-        # older ones, a slot just taken by a new run would look lapsed.
-        if self._read_live():
-            self._change_table(table, self._arrange(table), version)
+        # Leases must be read after the table: compared with older leases, a slot that was just
+        # taken by a new incarnation would appear expired.
+        if self._refresh_live_holders():
+            self._update_table(table, self._assign_slots(table), version)
 
-    def _read_live(self) -> bool:
+    def _refresh_live_holders(self) -> bool:
         live = self._lease.live_holders()
         if live is None:
             return False
-        self._live, self._live_read = live, self._clock.now()
+        self._live_holders, self._live_holders_read_at = live, self._clock.now()
         return True
 
     def _read_table(self, count: int) -> tuple[SlotTable | None, int]:
@@ -191,95 +191,102 @@
             return SlotTable(0, [Slot()] * count), CREATE
         return msgspec.json.decode(found.value, type=SlotTable), found.version
 
-    def _is_owed(self, table: SlotTable) -> bool:
-        """Tell whether another holder has slots to give that may come here."""
-        fair = self._fair(table)
+    def _expects_slots(self, table: SlotTable) -> bool:
+        """Return whether another holder is expected to release slots to this target."""
+        fair_share = self._fair_share(table)
         held = Counter(slot.holder for slot in table.slots)
-        return held[self._instance] < fair < max(held.values())
+        return held[self._instance] < fair_share < max(held.values())
 
-    def _fair(self, table: SlotTable) -> int:
-        return math.ceil(len(table.slots) / len(self._live))
+    def _fair_share(self, table: SlotTable) -> int:
+        return math.ceil(len(table.slots) / len(self._live_holders))
 
-    def _arrange(self, table: SlotTable) -> list[Slot]:
-        """Return the slots as they should be: lapsed ones freed, this target's fair part."""
-        live = self._live
+    def _assign_slots(self, table: SlotTable) -> list[Slot]:
+        """Return the table's slots with expired ones freed and this target at its fair share."""
+        live = self._live_holders
         slots = [
-            s if not s.holder or live.get(s.holder) == s.incarnation else _LAPSED
+            s if not s.holder or live.get(s.holder) == s.incarnation else _EXPIRED_SLOT
             for s in table.slots
         ]
-        fair = self._fair(table)
-        mine = [i for i, s in enumerate(slots) if s.holder == self._instance]
-        for index in mine[fair:]:
-            slots[index] = _LAPSED
-        free = [i for i, s in enumerate(slots) if not s.holder and i not in mine]
-        fresh = self._clock.wall() + CLOCK_MARGIN
-        for index in free[: max(0, fair - len(mine))]:
-            old = slots[index]
-            since = old.since if old.handover or not old.used else fresh
-            slots[index] = Slot(self._instance, self._lease.incarnation, since, True, old.handover)
+        fair_share = self._fair_share(table)
+        own = [i for i, s in enumerate(slots) if s.holder == self._instance]
+        for index in own[fair_share:]:
+            slots[index] = _EXPIRED_SLOT
+        free = [i for i, s in enumerate(slots) if not s.holder and i not in own]
+        min_key_time = self._clock.wall() + CLOCK_MARGIN
+        for index in free[: max(0, fair_share - len(own))]:
+            previous = slots[index]
+            since = previous.since if previous.handover or not previous.used else min_key_time
+            slots[index] = Slot(
+                self._instance, self._lease.incarnation, since, True, previous.handover
+            )
         return slots
 
-    def _change_table(self, table: SlotTable, wanted: list[Slot], version: int) -> bool:
-        """Write the table; false when another change came first.
+    def _update_table(self, table: SlotTable, assigned: list[Slot], version: int) -> bool:
+        """Write the table; return false unless the write succeeded.
 
-        Slots given back are not used from before the write on, whatever comes of
-        it. Keys of slots taken are remembered before the write, in case it takes
-        effect and its answer is lost; the slots are used only once it is known.
+        Released slots are not used from before the write, whatever its result. Keys of taken
+        slots are imported before the write, in case it succeeds but its answer is lost; the
+        slots are used only after the table confirms them.
         """
-        mine = table.held_by(self._instance, self._lease.incarnation)
-        lost = {i: s for i, s in mine.items() if wanted[i].holder != self._instance}
-        if lost:
-            wanted = self._hand_over(wanted, lost, table.epoch + 1)
-        wanted, used = self._take_over(wanted)
-        changed = SlotTable(table.epoch + 1, wanted)
-        result = self._platform.write(self._table_key, msgspec.json.encode(changed), version)
+        own = table.held_by(self._instance, self._lease.incarnation)
+        released_slots = {i: s for i, s in own.items() if assigned[i].holder != self._instance}
+        if released_slots:
+            assigned = self._write_handovers(assigned, released_slots, table.epoch + 1)
+        assigned, used_handovers = self._read_handovers(assigned)
+        new_table = SlotTable(table.epoch + 1, assigned)
+        result = self._platform.write(self._table_key, msgspec.json.encode(new_table), version)
         if not isinstance(result, Written):
             return False
-        self._publish_table(changed)
-        self._handovers.drop(used - {slot.handover for slot in wanted})
+        self._apply_table(new_table)
+        self._handover_store.delete(used_handovers - {slot.handover for slot in assigned})
         return True
 
-    def _hand_over(self, wanted: list[Slot], lost: dict[int, Slot], epoch: int) -> list[Slot]:
-        """Stop using the slots in ``lost``; write down what ran, for the next holder."""
+    def _write_handovers(
+        self, assigned: list[Slot], released_slots: dict[int, Slot], epoch: int
+    ) -> list[Slot]:
+        """Stop using ``released_slots``; write their keys for the next holders."""
         held = self._holding
-        kept = {i: s for i, s in held.slots.items() if i not in lost}
+        kept = {i: s for i, s in held.slots.items() if i not in released_slots}
         self._holding = Holding(held.epoch, kept, held.count)
-        surrendered = self._user.surrender(self._holding, lost)
-        # From here to the next holder's line "slots changed", keys of these slots wait.
-        _log.info("slots given back", service=self._service, slots=len(lost), epoch=epoch)
-        keys = {i: surrendered.keys.get(i, []) for i in lost if not wanted[i].holder}
-        names = self._handovers.write(keys, f"{epoch}-{self._lease.incarnation}")
-        result = list(wanted)
-        for index, name in names.items():
-            since = max(lost[index].since, surrendered.forgotten_before)
-            result[index] = Slot("", "", since, True, name)
+        released = self._consumer.release_slots(self._holding, released_slots)
+        # Requests for these slots wait until the next holder logs "slots changed".
+        _log.info("slots given back", service=self._service, slots=len(released_slots), epoch=epoch)
+        keys = {i: released.keys.get(i, []) for i in released_slots if not assigned[i].holder}
+        object_names = self._handover_store.write(keys, f"{epoch}-{self._lease.incarnation}")
+        result = list(assigned)
+        for index, object_name in object_names.items():
+            since = max(released_slots[index].since, released.dropped_before)
+            result[index] = Slot("", "", since, True, object_name)
         return result
 
-    def _take_over(self, wanted: list[Slot]) -> tuple[list[Slot], set[str]]:
-        """Remember the keys of slots being taken; without them, a slot starts afresh.
+    def _read_handovers(self, assigned: list[Slot]) -> tuple[list[Slot], set[str]]:
+        """Import the keys of slots being taken; a slot without them refuses older keys.
 
-        Returns the slots as they are to be written and the handovers used.
+        Returns the slots to write and the names of the handovers read.
         """
         taken = {
             index: slot.handover
-            for index, slot in enumerate(wanted)
+            for index, slot in enumerate(assigned)
             if slot.handover and slot.holder == self._instance
         }
-        notes = self._handovers.read(taken, len(wanted)) if taken else {}
-        result = list(wanted)
+        entries = self._handover_store.read(taken, len(assigned)) if taken else {}
+        result = list(assigned)
         for index in taken:
-            slot = wanted[index]
-            since = slot.since if index in notes else self._clock.wall() + CLOCK_MARGIN
+            slot = assigned[index]
+            since = slot.since if index in entries else self._clock.wall() + CLOCK_MARGIN
             result[index] = Slot(slot.holder, slot.incarnation, since, True)
-        if notes:
-            self._user.hold(self._holding, [note for each in notes.values() for note in each])
-        return result, {taken[index] for index in notes}
+        if entries:
+            self._consumer.apply_holding(
+                self._holding,
+                [entry for slot_entries in entries.values() for entry in slot_entries],
+            )
+        return result, {taken[index] for index in entries}
 
-    def _publish_table(self, table: SlotTable) -> None:
-        mine = table.held_by(self._instance, self._lease.incarnation)
-        self._publish(Holding(table.epoch, mine, len(table.slots)))
+    def _apply_table(self, table: SlotTable) -> None:
+        own = table.held_by(self._instance, self._lease.incarnation)
+        self._apply_holding(Holding(table.epoch, own, len(table.slots)))
 
-    def _publish(self, holding: Holding) -> None:
+    def _apply_holding(self, holding: Holding) -> None:
         if holding == self._holding:
             return
         if set(holding.slots) != set(self._holding.slots):
@@ -290,4 +297,4 @@
                 epoch=holding.epoch,
             )
         self._holding = holding
-        self._user.hold(holding, ())
+        self._consumer.apply_holding(holding, ())
--- a/src/canvasyoke/target/_ids.py
+++ b/src/canvasyoke/target/_ids.py
@@ -1,8 +1,8 @@
-"""Which attempts a target has seen, so that a late copy of one never runs.
+"""Detection of duplicate attempts, so that a delayed copy of a message is never executed.
 
-An entry numbers its requests upwards for as long as its process lives. Ids are
-remembered one by one for a while; of those let go, the highest number is kept
-for each incarnation, and anything at or below it counts as seen.
+An entry process numbers its requests in increasing order. The most recent attempts are stored
+individually. For evicted ones, only the highest request number of each incarnation is kept, and
+every request up to that number counts as seen.
 """
 
 from __future__ import annotations
@@ -11,36 +11,38 @@
 from dataclasses import dataclass
 from typing import Final
 
-_LIMIT: Final = 50_000
-_INCARNATIONS: Final = 2_000
+_MAX_ATTEMPTS: Final = 50_000
+_MAX_INCARNATIONS: Final = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptId:
-    """One try at one request by one run of an entry."""
+    """Identifies one attempt at a request by one incarnation of an entry."""
 
     incarnation: str
     request: int
     attempt: int
 
 
-class SeenIds:
-    """A bounded memory of attempts."""
+class SeenAttempts:
+    """A set of attempts with bounded memory."""
 
-    def __init__(self, limit: int = _LIMIT) -> None:
+    def __init__(self, limit: int = _MAX_ATTEMPTS) -> None:
         self._limit = limit
         self._seen: OrderedDict[AttemptId, None] = OrderedDict()
-        self._floor: OrderedDict[str, int] = OrderedDict()
+        self._highest_dropped: OrderedDict[str, int] = OrderedDict()
 
     def add(self, attempt: AttemptId) -> None:
-        """Remember ``attempt``."""
+        """Add ``attempt``; evict the oldest ones above the limit."""
         self._seen[attempt] = None
         while len(self._seen) > self._limit:
-            old, _ = self._seen.popitem(last=False)
-            floor = max(old.request, self._floor.pop(old.incarnation, -1))
-            self._floor[old.incarnation] = floor
-            if len(self._floor) > _INCARNATIONS:
-                self._floor.popitem(last=False)
+            dropped, _ = self._seen.popitem(last=False)
+            highest = max(dropped.request, self._highest_dropped.pop(dropped.incarnation, -1))
+            self._highest_dropped[dropped.incarnation] = highest
+            if len(self._highest_dropped) > _MAX_INCARNATIONS:
+                self._highest_dropped.popitem(last=False)
 
     def __contains__(self, attempt: AttemptId) -> bool:
-        return attempt in self._seen or attempt.request <= self._floor.get(attempt.incarnation, -1)
+        return attempt in self._seen or attempt.request <= self._highest_dropped.get(
+            attempt.incarnation, -1
+        )
--- a/src/canvasyoke/target/_lease_keeper.py
+++ b/src/canvasyoke/target/_lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps one target's lease in the platform, and tells whose leases stand."""
+"""Renewal of a target's lease, and detection of other targets' expired leases."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """A lease as kept in the platform."""
+    """A lease as stored in the platform."""
 
     incarnation: str
-    #: Address that the holder's process listens on.
+    #: Listening address of the holder.
     address: str
-    #: Whether its holder let go of it, or another broke it.
+    #: Whether the holder released the lease or another target revoked it.
     ended: bool = False
 
 
-class LeaseKeeper:
-    """The lease under which a target holds key slots of its service."""
+class LeaseManager:
+    """Manages the lease under which a target holds key slots of its service."""
 
     def __init__(
         self,
@@ -42,28 +42,28 @@
         self._clock = clock
         self._service = service
         self._instance = instance
-        #: Name under which slots are held; a new one after a lease was lost, so that
-        #: what the table still says of the old one is never taken for one's own.
+        #: Identifies this holder in the slot table. Changes when the lease is lost, so that
+        #: slots still listed under the previous value are not treated as held.
         self.incarnation = incarnation
-        self._losses = 0
+        self._loss_count = 0
         self._address = address
-        self._watch = LeaseMonitor(clock)
+        self._monitor = LeaseMonitor(clock)
         self._version = -1
-        self._renewed = -RENEW_INTERVAL
+        self._renewed_at = -RENEW_INTERVAL
 
     @property
     def valid(self) -> bool:
-        """Tell whether the lease stands now."""
+        """Return whether the lease is valid now."""
         return self._lease.valid
 
-    def keep(self) -> bool:
-        """Renew the lease if it is time; false when another has taken it."""
-        if self._clock.now() - self._renewed >= RENEW_INTERVAL:
+    def renew_if_due(self) -> bool:
+        """Renew the lease if it is due; return false if another process has taken it."""
+        if self._clock.now() - self._renewed_at >= RENEW_INTERVAL:
             return self._renew()
         return True
 
-    def end(self) -> None:
-        """Give the lease back, so that others need not wait for it to lapse."""
+    def release(self) -> None:
+        """Release the lease, so that others need not wait for it to expire."""
         self._lease.mark_lost()
         if self._version >= 0:
             self._platform.write(self._key, self._record(ended=True), self._version)
@@ -76,25 +76,25 @@
         return f"{_LEASE_PREFIX}{self._service}/{self._instance}"
 
     def _renew(self) -> bool:
-        began = self._clock.now()
-        if self._version < 0 and not self._join():
+        started_at = self._clock.now()
+        if self._version < 0 and not self._find_version():
             return True
         result = self._platform.write(self._key, self._record(False), self._version)
         if isinstance(result, Written):
             self._version = result.version
-            self._renewed = began
-            self._lease.record_renewal(began)
+            self._renewed_at = started_at
+            self._lease.record_renewal(started_at)
             return True
         if isinstance(result, Conflict) or result.ambiguous:
-            return self._check_lost()
+            return self._verify_ownership()
         return True
 
-    def _join(self) -> bool:
-        """Find the version to write against; false while a former run may hold on.
+    def _find_version(self) -> bool:
+        """Find the version to write against; false while a previous process may hold the lease.
 
-        A former run with the same address is over, since this process listens
-        there now. One with another address may be paused or cut off, so its lease
-        has to lapse like anybody's.
+        A previous process with the same address has ended, since this process now listens on
+        that address. One with another address may be paused or partitioned, so its lease has
+        to expire first.
         """
         found = self._platform.read(self._key)
         if isinstance(found, Unavailable):
@@ -103,16 +103,16 @@
             self._version = CREATE
             return True
         record = msgspec.json.decode(found.value, type=LeaseRecord)
-        over = record.ended or record.address == self._address
-        if not over and not self._watch.has_expired(self._key, found.version):
+        has_ended = record.ended or record.address == self._address
+        if not has_ended and not self._monitor.has_expired(self._key, found.version):
             return False
         self._version = found.version
         return True
 
-    def _check_lost(self) -> bool:
-        """Find out what became of a renewal that was refused or not answered.
+    def _verify_ownership(self) -> bool:
+        """Check the outcome of a renewal that conflicted or got no answer.
 
-        Returns false when the lease is another's.
+        Returns false if another process holds the lease.
         """
         found = self._platform.read(self._key)
         if isinstance(found, Unavailable):
@@ -124,17 +124,17 @@
         self._version = found.version
         if record.incarnation == self.incarnation and not record.ended:
             return True
-        _log.warning("lease was taken by another", service=self._service)
+        _log.warning("lost the lease to another process", service=self._service)
         self._lease.mark_lost()
-        self._losses += 1
-        self.incarnation = f"{self.incarnation.partition('.')[0]}.{self._losses}"
+        self._loss_count += 1
+        self.incarnation = f"{self.incarnation.partition('.')[0]}.{self._loss_count}"
         return False
 
     def live_holders(self) -> dict[str, str] | None:
-        """Return the incarnation of each instance whose lease stands.
+        """Return the incarnation of each instance with a valid lease.
 
-        A lease that has stood still for too long is broken first, by a write on
-        it: its holder, should it wake, will find its next renewal refused.
+        An expired lease is revoked by a conditional write first, so that the next renewal of
+        a holder that was only paused fails.
         """
         keys = self._platform.list_keys(f"{_LEASE_PREFIX}{self._service}/")
         if isinstance(keys, Unavailable):
@@ -147,19 +147,19 @@
             found = self._platform.read(key)
             if isinstance(found, Unavailable):
                 return None
-            if isinstance(found, Found) and self._stands(key, found):
+            if isinstance(found, Found) and self._is_live(key, found):
                 live[name] = msgspec.json.decode(found.value, type=LeaseRecord).incarnation
         return live
 
-    def _stands(self, key: str, found: Found) -> bool:
+    def _is_live(self, key: str, found: Found) -> bool:
         record = msgspec.json.decode(found.value, type=LeaseRecord)
         if record.ended:
             return False
-        if not self._watch.has_expired(key, found.version):
+        if not self._monitor.has_expired(key, found.version):
             return True
-        broken = msgspec.json.encode(LeaseRecord(record.incarnation, record.address, True))
-        result = self._platform.write(key, broken, found.version)
+        ended_record = msgspec.json.encode(LeaseRecord(record.incarnation, record.address, True))
+        result = self._platform.write(key, ended_record, found.version)
         if isinstance(result, Written):
-            _log.warning("broke a lapsed lease", holder=key.rsplit("/", 1)[1])
+            _log.warning("revoked an expired lease", holder=key.rsplit("/", 1)[1])
             return False
         return True
--- a/src/canvasyoke/target/_ranks.py
+++ b/src/canvasyoke/target/_ranks.py
@@ -1,4 +1,4 @@
-"""A map owner's links to the targets of all ranks of its group."""
+"""Links from a map owner to the targets of all ranks in its group."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 @dataclass(slots=True)
-class _Pending:
-    """Replies still awaited to one round of orders."""
+class _PendingRound:
+    """State of one round of orders whose replies are pending."""
 
-    wanted: set[int]
+    expected: set[int]
     ranks: dict[int, int]
     replies: dict[int, GroupReply] = field(default_factory=dict)
     done: threading.Event = field(default_factory=threading.Event)
 
 
 class RankLinks:
-    """Sends one order to several ranks at once and gathers what they answer."""
+    """Sends orders to several ranks in parallel and collects the replies."""
 
     def __init__(
         self, link_key: bytes, instance: str, incarnation: str, clock: Clock, rng: random.Random
@@ -37,28 +37,28 @@
         self._lock = threading.Lock()
         self._clients: dict[int, LinkClient] = {}
         self._sessions: dict[str, Session] = {}
-        self._numbers = itertools.count(1)
-        self._pending: _Pending | None = None
+        self._order_numbers = itertools.count(1)
+        self._pending: _PendingRound | None = None
 
-    def connect(self, addresses: Mapping[int, str]) -> None:
-        """Keep one link to each address; ranks that are not named lose theirs."""
+    def set_addresses(self, addresses: Mapping[int, str]) -> None:
+        """Keep one link per address; close the links of ranks that are not listed."""
         for rank, client in list(self._clients.items()):
             if addresses.get(rank) != client.address:
                 client.stop()
                 del self._clients[rank]
         for rank, address in addresses.items():
             if rank not in self._clients:
-                self._clients[rank] = self._open(address)
+                self._clients[rank] = self._open_link(address)
 
     def close(self) -> None:
-        """Give up all links."""
-        self.connect({})
+        """Close all links."""
+        self.set_addresses({})
 
-    def _open(self, address: str) -> LinkClient:
-        def opened(session: Session) -> None:
+    def _open_link(self, address: str) -> LinkClient:
+        def on_open(session: Session) -> None:
             self._sessions[address] = session
 
-        def closed(session: Session) -> None:
+        def on_close(session: Session) -> None:
             if self._sessions.get(address) is session:
                 del self._sessions[address]
 
@@ -70,25 +70,25 @@
             self._incarnation,
             self._clock,
             self._rng,
-            self._received,
-            opened,
-            closed,
+            self._on_message,
+            on_open,
+            on_close,
         )
         client.start()
         return client
 
-    def ask(
-        self, ranks: list[int], make: Callable[[int, int], GroupOrder], timeout: int
+    def send_orders(
+        self, ranks: list[int], make_order: Callable[[int, int], GroupOrder], timeout: int
     ) -> dict[int, GroupReply]:
-        """Send ``make(order, rank)`` to each rank; return the replies that came in time."""
-        pending = _Pending(set(), {})
+        """Send ``make_order(order, rank)`` to each rank; return the replies within ``timeout``."""
+        pending = _PendingRound(set(), {})
         orders = []
         for rank in ranks:
             session = self._session(rank)
             if session is None:
                 continue
-            order = make(next(self._numbers), rank)
-            pending.wanted.add(order.order)
+            order = make_order(next(self._order_numbers), rank)
+            pending.expected.add(order.order)
             pending.ranks[order.order] = rank
             orders.append((session, order))
         if not orders:
@@ -100,19 +100,22 @@
         pending.done.wait(timeout / SECOND)
         with self._lock:
             self._pending = None
-            return {pending.ranks[number]: reply for number, reply in pending.replies.items()}
+            return {
+                pending.ranks[order_number]: reply
+                for order_number, reply in pending.replies.items()
+            }
 
     def _session(self, rank: int) -> Session | None:
         client = self._clients.get(rank)
         return self._sessions.get(client.address) if client else None
 
-    def _received(self, session: Session, message: Message) -> None:
+    def _on_message(self, session: Session, message: Message) -> None:
         if not isinstance(message, GroupReply):
             return
         with self._lock:
             pending = self._pending
-            if pending is None or message.order not in pending.wanted:
+            if pending is None or message.order not in pending.expected:
                 return
             pending.replies[message.order] = message
-            if len(pending.replies) == len(pending.wanted):
+            if len(pending.replies) == len(pending.expected):
                 pending.done.set()
--- a/src/canvasyoke/target/_work.py
+++ b/src/canvasyoke/target/_work.py
@@ -1,4 +1,4 @@
-"""One request at a target, from its arrival until its answer may be forgotten."""
+"""State of a request at a target, from arrival until its answer is dropped."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class WorkState(enum.Enum):
-    """How far the work has come."""
+    """Progress of a request."""
 
     WAITING = enum.auto()
-    #: A slot is held for it while its entry makes up its mind.
+    #: A slot is reserved until the entry accepts or declines it.
     READY = enum.auto()
     RUNNING = enum.auto()
     ENDED = enum.auto()
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reader:
-    """One entry's attempt that waits for the answer."""
+    """An attempt of an entry that is waiting for the answer."""
 
     session: Session
     request: int
     attempt: int
 
     def refuse(self, refusal: Refusal) -> None:
-        """Tell the entry that there is no more of an answer."""
+        """Send ``refusal`` to the entry; nothing follows it."""
         self.session.send(
             Refused(
                 self.request,
@@ -54,61 +54,61 @@
 
 
 class Work(AnswerSink):
-    """Keeps an answer as it grows and passes it to all its readers.
+    """Buffers a streamed answer and forwards it to all attached readers.
 
-    The backend's task adds, readers come and go; a lock keeps the order of what
-    each reader gets.
+    The backend's thread appends while readers attach and detach. The lock keeps each reader's
+    messages in order.
     """
 
     def __init__(self, run: Run, deadline: int) -> None:
         self.run = run
-        #: Time on the clock at which the caller gives up.
+        #: Clock time at which the caller times out.
         self.deadline = deadline
         self.state = WorkState.WAITING
-        #: Time on the clock at which a slot was offered to its entry; 0 before.
+        #: Clock time at which a slot was offered to the entry; 0 before that.
         self.ready_at = 0
-        #: Time on the clock at which it ended; 0 before.
+        #: Clock time at which the request ended; 0 before that.
         self.ended_at = 0
-        #: How it failed, once it has.
+        #: Reason of the failure; ``None`` unless the request failed.
         self.refusal: Refusal | None = None
         self._lock = threading.Lock()
         self._head: tuple[int, list[tuple[str, str]]] | None = None
         self._chunks: list[bytes] = []
-        self._whole = False
+        self._complete = False
         self._readers: list[Reader] = []
         self._cancelled = False
-        self._told_queued = False
+        self._queued_notified = False
 
     @property
     def cancelled(self) -> bool:
-        """Tell whether nobody wants the rest."""
+        """Return whether the request has been cancelled."""
         return self._cancelled
 
     @property
     def size(self) -> int:
-        """Return the bytes of the answer so far."""
+        """Return the number of bytes buffered so far."""
         return sum(map(len, self._chunks))
 
     @property
     def has_readers(self) -> bool:
-        """Tell whether an attempt still waits for the answer."""
+        """Return whether any reader with an open session is attached."""
         with self._lock:
             self._readers = [r for r in self._readers if not r.session.closed]
             return bool(self._readers)
 
     def cancel(self) -> None:
-        """Ask the backend's task to stop."""
+        """Request that the backend's thread stops."""
         self._cancelled = True
 
     def attach(self, reader: Reader, offset: int) -> None:
-        """Give ``reader`` the answer from ``offset`` on, now and as it grows."""
+        """Send ``reader`` the buffered answer from ``offset`` on, then each further chunk."""
         with self._lock:
             self._replay(reader, offset)
             if self.state is not WorkState.ENDED:
                 self._readers = [r for r in self._readers if r != reader] + [reader]
 
     def detach(self, request: int, attempt: int) -> None:
-        """Let go of one attempt."""
+        """Detach the reader of one attempt."""
         with self._lock:
             self._readers = [
                 r for r in self._readers if (r.request, r.attempt) != (request, attempt)
@@ -122,41 +122,41 @@
         for index, data in enumerate(self._chunks, first):
             if index >= offset:
                 session.send(Chunk(request, attempt, index, data))
-        if self._whole:
+        if self._complete:
             session.send(End(request, attempt, first + len(self._chunks)))
         elif self.refusal is not None:
             reader.refuse(self.refusal)
 
-    def tell_queued(self) -> None:
-        """Tell the readers that the request has to wait."""
+    def notify_queued(self) -> None:
+        """Notify the readers that the request is queued."""
         with self._lock:
-            self._told_queued = True
+            self._queued_notified = True
             for reader in self._readers:
                 reader.session.send(Queued(reader.request, reader.attempt))
 
-    def tell_started(self) -> None:
-        """Tell the readers that the request no longer waits, if they were told it does."""
+    def notify_started(self) -> None:
+        """Notify the readers that the request left the queue, if they know that it was queued."""
         with self._lock:
-            if not self._told_queued:
+            if not self._queued_notified:
                 return
             for reader in self._readers:
                 reader.session.send(Started(reader.request, reader.attempt))
 
-    def tell_ready(self) -> None:
-        """Offer the slot that has come free to the one entry that stands by for it."""
+    def notify_ready(self) -> None:
+        """Offer the reserved slot to the entry that is waiting for it."""
         with self._lock:
             for reader in self._readers:
                 reader.session.send(Ready(reader.request, reader.attempt))
 
     def head(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Take the status and headers of the answer."""
+        """Set the status and headers of the answer and forward them."""
         with self._lock:
             self._head = (status, headers)
             for reader in self._readers:
                 reader.session.send(Head(reader.request, reader.attempt, status, headers))
 
     def chunk(self, data: bytes) -> None:
-        """Take the next piece of the answer."""
+        """Append a chunk of the answer and forward it."""
         with self._lock:
             index = self.run.offset + len(self._chunks)
             self._chunks.append(data)
@@ -164,22 +164,22 @@
                 reader.session.send(Chunk(reader.request, reader.attempt, index, data))
 
     def end(self, now: int) -> None:
-        """Note that the answer is whole."""
+        """Mark the answer as complete."""
         with self._lock:
-            self._whole = True
-            self._finish(now)
+            self._complete = True
+            self._mark_ended(now)
             count = self.run.offset + len(self._chunks)
             for reader in self._readers:
                 reader.session.send(End(reader.request, reader.attempt, count))
 
     def refuse(self, refusal: Refusal, now: int) -> None:
-        """Note that there will be no more of an answer."""
+        """Mark the request as failed and notify the readers."""
         with self._lock:
             self.refusal = refusal
-            self._finish(now)
+            self._mark_ended(now)
             for reader in self._readers:
                 reader.refuse(refusal)
 
-    def _finish(self, now: int) -> None:
+    def _mark_ended(self, now: int) -> None:
         self.state = WorkState.ENDED
         self.ended_at = now
--- a/src/canvasyoke/target/tests/test_desk.py
+++ b/src/canvasyoke/target/tests/test_desk.py
@@ -1,4 +1,4 @@
-"""What a target does with each message, with a session and a backend of the test's own."""
+"""Tests for the request scheduler, with a fake session and a fake backend."""
 
 import random
 import threading
@@ -27,11 +27,11 @@
     new_key,
 )
 from canvasyoke.state import ConfigView, FleetConfig, build_config, check_file
-from canvasyoke.target._desk import Desk
+from canvasyoke.target._desk import RequestScheduler
 from canvasyoke.target._homes import Holding
 from fakes.launcher import wait_until
 
-CONFIGURATION = """
+CONFIG = """
 services:
   shelf: {kind: plain}
 engines:
@@ -39,8 +39,8 @@
 """
 
 
-class Link:
-    """Stands for the session with one entry."""
+class FakeSession:
+    """Records the messages sent to one entry."""
 
     def __init__(self, incarnation: str = "entry-run") -> None:
         self.incarnation = incarnation
@@ -51,7 +51,7 @@
         self.sent.append(message)
 
     def kinds(self, attempt: int = 1) -> list[type]:
-        """Return the kinds of messages sent for one attempt."""
+        """Return the types of the messages sent for one attempt."""
         return [type(m) for m in self.sent if getattr(m, "attempt", None) == attempt]
 
     def refusal(self) -> tuple[str, str]:
@@ -61,22 +61,22 @@
 
 
 @dataclass
-class Lease:
-    """A lease that stands until told otherwise."""
+class FakeLease:
+    """A lease that is valid unless a test changes it."""
 
     valid: bool = True
 
 
 @dataclass
-class Service(Backend):
-    """Answers when the test lets it."""
+class FakeBackend(Backend):
+    """Answers once the test sets ``proceed``."""
 
-    go_on: threading.Event = field(default_factory=threading.Event)
+    proceed: threading.Event = field(default_factory=threading.Event)
     runs: list[str] = field(default_factory=list)
 
     def call(self, run: Run, sink: AnswerSink) -> CallEnd:
         self.runs.append(run.request_id)
-        self.go_on.wait(10)
+        self.proceed.wait(10)
         sink.head(200, [])
         sink.chunk(run.body)
         return Done()
@@ -85,42 +85,42 @@
         return Health(True)
 
 
-class World:
-    """One desk that holds all key slots, and what it talks to."""
+class SchedulerHarness:
+    """A scheduler that holds all key slots, with its fakes."""
 
     def __init__(self) -> None:
-        self.link = Link()
-        self.service = Service()
-        self.lease = Lease()
+        self.session = FakeSession()
+        self.backend = FakeBackend()
+        self.lease = FakeLease()
         view = ConfigView()
-        view.current = configuration()
-        self.ref = Desk.start(
+        view.current = make_config()
+        self.ref = RequestScheduler.start(
             "shelf",
             "shelf-1",
             SystemClock(),
             view,
-            self.service,
+            self.backend,
             self.lease,
             lambda load: None,
         )
-        self.desk = self.ref.proxy()
-        self.desk.configured(view.current).get()
+        self.scheduler = self.ref.proxy()
+        self.scheduler.apply_config(view.current).get()
         slots = {index: Slot("shelf-1", "run") for index in range(4)}
-        self.desk.hold(Holding(1, slots, 4), ()).get()
+        self.scheduler.apply_holding(Holding(1, slots, 4), ()).get()
 
     def submit(self, run: Run) -> None:
-        self.desk.submit(self.link, run).get()
+        self.scheduler.submit(self.session, run).get()
 
     def wait_for(self, kind: type, attempt: int = 1) -> None:
-        wait_until(lambda: kind in self.link.kinds(attempt), kind.__name__, 5)
+        wait_until(lambda: kind in self.session.kinds(attempt), kind.__name__, 5)
 
 
-def configuration() -> FleetConfig:
-    model = check_file(CONFIGURATION, "f")
+def make_config() -> FleetConfig:
+    model = check_file(CONFIG, "f")
     assert not isinstance(model, list)
-    built = build_config(1, {"f": model})
-    assert isinstance(built, FleetConfig)
-    return built
+    config = build_config(1, {"f": model})
+    assert isinstance(config, FleetConfig)
+    return config
 
 
 def make_run(attempt: int = 1, key: str = "", request: int = 1, standby: bool = False) -> Run:
@@ -147,137 +147,141 @@
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
-    world = World()
-    yield world
-    world.service.go_on.set()
-    world.ref.stop()
-
-
-def test_answer_and_late_copies(world: World) -> None:
-    world.service.go_on.set()
-    world.submit(make_run())
-    world.wait_for(End)
-    assert world.link.kinds() == [Head, Chunk, End]
-    world.submit(make_run())
-    assert world.service.runs == ["r-1-1"], "a copy of the frame runs nothing"
-
-
-def test_request_that_never_arrived_is_denied_for_good(world: World) -> None:
-    world.service.go_on.set()
-    world.desk.resume(world.link, 1, 1, 0).get()
-    assert world.link.refusal() == (Outcome.NOT_RUN, Reason.LINK_LOST)
-    world.submit(make_run())
-    assert world.service.runs == [], "the request itself comes after its denial"
-
-
-def test_resume_sends_only_what_is_missing(world: World) -> None:
-    world.service.go_on.set()
-    world.submit(make_run())
-    world.wait_for(End)
-    again = Link()
-    world.desk.resume(again, 1, 1, 1).get()
-    assert again.kinds() == [Head, End]
-
-
-def test_answer_let_go_of_is_unknown_not_denied(world: World) -> None:
-    world.service.go_on.set()
-    world.submit(make_run())
-    world.wait_for(End)
-    world.desk.forget(world.link, 1, 1).get()
-    world.desk.resume(world.link, 1, 1, 0).get()
-    assert world.link.refusal() == (Outcome.UNKNOWN, Reason.LINK_LOST)
-
-
-def test_waiting_request_can_be_cancelled_and_has_not_run(world: World) -> None:
-    world.submit(make_run(request=1))
-    world.submit(make_run(request=2))
-    assert Queued in [type(m) for m in world.link.sent]
-    world.desk.cancel(world.link, 2, 1).get()
-    assert world.link.refusal() == (Outcome.NOT_RUN, Reason.CANCELLED)
-    world.service.go_on.set()
-    world.wait_for(End)
-    assert world.service.runs == ["r-1-1"]
-
-
-def test_waiting_request_is_told_when_it_starts(world: World) -> None:
-    world.submit(make_run(request=1, attempt=1))
-    world.submit(make_run(request=2, attempt=2))
-    world.service.go_on.set()
-    world.wait_for(End, attempt=2)
-    assert world.link.kinds(2) == [Queued, Started, Head, Chunk, End]
-
-
-def test_standby_runs_only_when_told_to(world: World) -> None:
-    world.service.go_on.set()
-    world.submit(make_run(standby=True))
-    world.wait_for(Ready)
-    assert world.service.runs == []
-    world.desk.go(world.link, 1, 1).get()
-    world.wait_for(End)
-    assert world.service.runs == ["r-1-1"]
-
-
-def test_declined_slot_goes_to_the_next(world: World) -> None:
-    world.service.go_on.set()
-    world.submit(make_run(request=1, attempt=1, standby=True))
-    world.submit(make_run(request=2, attempt=2))
-    world.desk.cancel(world.link, 1, 1).get()
-    world.wait_for(End, attempt=2)
-    assert world.service.runs == ["r-2-2"]
-
-
-def test_key_joins_its_run_and_gets_the_same_answer(world: World) -> None:
+def harness() -> Iterator[SchedulerHarness]:
+    harness = SchedulerHarness()
+    yield harness
+    harness.backend.proceed.set()
+    harness.ref.stop()
+
+
+def test_duplicate_message_is_not_executed(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.submit(make_run())
+    harness.wait_for(End)
+    assert harness.session.kinds() == [Head, Chunk, End]
+    harness.submit(make_run())
+    assert harness.backend.runs == ["r-1-1"], "a duplicate message must not execute"
+
+
+def test_request_denied_on_resume_never_executes(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.scheduler.resume(harness.session, 1, 1, 0).get()
+    assert harness.session.refusal() == (Outcome.NOT_RUN, Reason.LINK_LOST)
+    harness.submit(make_run())
+    assert harness.backend.runs == [], "a request that was denied must not execute when it arrives"
+
+
+def test_resume_sends_only_missing_chunks(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.submit(make_run())
+    harness.wait_for(End)
+    new_session = FakeSession()
+    harness.scheduler.resume(new_session, 1, 1, 1).get()
+    assert new_session.kinds() == [Head, End]
+
+
+def test_resume_of_a_dropped_answer_is_unknown(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.submit(make_run())
+    harness.wait_for(End)
+    harness.scheduler.forget(harness.session, 1, 1).get()
+    harness.scheduler.resume(harness.session, 1, 1, 0).get()
+    assert harness.session.refusal() == (Outcome.UNKNOWN, Reason.LINK_LOST)
+
+
+def test_cancelled_queued_request_is_not_executed(harness: SchedulerHarness) -> None:
+    harness.submit(make_run(request=1))
+    harness.submit(make_run(request=2))
+    assert Queued in [type(m) for m in harness.session.sent]
+    harness.scheduler.cancel(harness.session, 2, 1).get()
+    assert harness.session.refusal() == (Outcome.NOT_RUN, Reason.CANCELLED)
+    harness.backend.proceed.set()
+    harness.wait_for(End)
+    assert harness.backend.runs == ["r-1-1"]
+
+
+def test_queued_request_is_notified_when_it_starts(harness: SchedulerHarness) -> None:
+    harness.submit(make_run(request=1, attempt=1))
+    harness.submit(make_run(request=2, attempt=2))
+    harness.backend.proceed.set()
+    harness.wait_for(End, attempt=2)
+    assert harness.session.kinds(2) == [Queued, Started, Head, Chunk, End]
+
+
+def test_standby_request_starts_only_on_go(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.submit(make_run(standby=True))
+    harness.wait_for(Ready)
+    assert harness.backend.runs == []
+    harness.scheduler.start_reserved(harness.session, 1, 1).get()
+    harness.wait_for(End)
+    assert harness.backend.runs == ["r-1-1"]
+
+
+def test_declined_slot_goes_to_the_next_request(harness: SchedulerHarness) -> None:
+    harness.backend.proceed.set()
+    harness.submit(make_run(request=1, attempt=1, standby=True))
+    harness.submit(make_run(request=2, attempt=2))
+    harness.scheduler.cancel(harness.session, 1, 1).get()
+    harness.wait_for(End, attempt=2)
+    assert harness.backend.runs == ["r-2-2"]
+
+
+def test_same_key_executes_once_and_shares_the_answer(harness: SchedulerHarness) -> None:
     key = fresh_key()
-    world.submit(make_run(attempt=1, key=key))
-    world.submit(make_run(attempt=2, key=key))
-    world.service.go_on.set()
-    world.wait_for(End, attempt=2)
-    world.submit(make_run(attempt=3, key=key))
-    world.wait_for(End, attempt=3)
-    assert world.service.runs == ["r-1-1"]
+    harness.submit(make_run(attempt=1, key=key))
+    harness.submit(make_run(attempt=2, key=key))
+    harness.backend.proceed.set()
+    harness.wait_for(End, attempt=2)
+    harness.submit(make_run(attempt=3, key=key))
+    harness.wait_for(End, attempt=3)
+    assert harness.backend.runs == ["r-1-1"]
 
 
-def test_key_that_did_not_run_may_run_later(world: World) -> None:
+def test_key_of_a_cancelled_queued_request_can_run_later(harness: SchedulerHarness) -> None:
     key = fresh_key()
-    world.submit(make_run(request=1, attempt=1))
-    world.submit(make_run(request=2, attempt=2, key=key))
-    world.desk.cancel(world.link, 2, 2).get()
-    world.service.go_on.set()
-    world.submit(make_run(request=3, attempt=3, key=key))
-    world.wait_for(End, attempt=3)
-    assert world.service.runs == ["r-1-1", "r-3-3"]
+    harness.submit(make_run(request=1, attempt=1))
+    harness.submit(make_run(request=2, attempt=2, key=key))
+    harness.scheduler.cancel(harness.session, 2, 2).get()
+    harness.backend.proceed.set()
+    harness.submit(make_run(request=3, attempt=3, key=key))
+    harness.wait_for(End, attempt=3)
+    assert harness.backend.runs == ["r-1-1", "r-3-3"]
 
 
-def test_started_key_is_not_cancelled(world: World) -> None:
+def test_running_keyed_request_is_not_cancelled(harness: SchedulerHarness) -> None:
     key = fresh_key()
-    world.submit(make_run(attempt=1, key=key))
-    world.desk.cancel(world.link, 1, 1).get()
-    world.service.go_on.set()
-    world.submit(make_run(attempt=2, key=key))
-    world.wait_for(End, attempt=2)
-    assert world.service.runs == ["r-1-1"]
+    harness.submit(make_run(attempt=1, key=key))
+    harness.scheduler.cancel(harness.session, 1, 1).get()
+    harness.backend.proceed.set()
+    harness.submit(make_run(attempt=2, key=key))
+    harness.wait_for(End, attempt=2)
+    assert harness.backend.runs == ["r-1-1"]
 
 
 @pytest.mark.parametrize(
     ("key", "reason"), [("not a key", Reason.MALFORMED), ("lapsed", Reason.NOT_HOME)]
 )
-def test_keys_that_may_not_run(world: World, key: str, reason: Reason) -> None:
-    world.lease.valid = key != "lapsed"
-    world.submit(make_run(key=fresh_key() if key == "lapsed" else key))
-    assert world.link.refusal() == (Outcome.NOT_RUN, reason)
-    assert world.service.runs == []
-
-
-def test_leaving_target_takes_nothing_new_but_replays(world: World) -> None:
-    world.service.go_on.set()
+def test_malformed_key_or_expired_lease_is_refused(
+    harness: SchedulerHarness, key: str, reason: Reason
+) -> None:
+    harness.lease.valid = key != "lapsed"
+    harness.submit(make_run(key=fresh_key() if key == "lapsed" else key))
+    assert harness.session.refusal() == (Outcome.NOT_RUN, reason)
+    assert harness.backend.runs == []
+
+
+def test_draining_target_refuses_new_requests_but_replays_answers(
+    harness: SchedulerHarness,
+) -> None:
+    harness.backend.proceed.set()
     key = fresh_key()
-    world.submit(make_run(attempt=1, key=key))
-    world.wait_for(End)
-    world.desk.leave().get()
-    for attempt, new in ((2, ""), (4, fresh_key())):
-        world.submit(make_run(request=attempt, attempt=attempt, key=new))
-        assert world.link.kinds(attempt) == [Refused]
-        assert world.link.refusal() == (Outcome.NOT_RUN, Reason.LEAVING)
-    world.submit(make_run(request=3, attempt=3, key=key))
-    world.wait_for(End, attempt=3)
+    harness.submit(make_run(attempt=1, key=key))
+    harness.wait_for(End)
+    harness.scheduler.stop_admitting().get()
+    for attempt, new_request_key in ((2, ""), (4, fresh_key())):
+        harness.submit(make_run(request=attempt, attempt=attempt, key=new_request_key))
+        assert harness.session.kinds(attempt) == [Refused]
+        assert harness.session.refusal() == (Outcome.NOT_RUN, Reason.LEAVING)
+    harness.submit(make_run(request=3, attempt=3, key=key))
+    harness.wait_for(End, attempt=3)
--- a/src/canvasyoke/target/tests/test_homes.py
+++ b/src/canvasyoke/target/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Slots change hands without a key running twice, whatever fails in between."""
+"""Tests that no key runs twice when slots move between holders, under faults."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -15,74 +15,80 @@
     slot_of,
 )
 from canvasyoke.protocol import Reason, new_key
-from canvasyoke.target._homes import NOTHING, Holding, HomeKeeper, SlotUser, Surrendered
-from canvasyoke.target._lease_keeper import LeaseKeeper
+from canvasyoke.target._homes import (
+    NO_SLOTS,
+    Holding,
+    ReleasedKeys,
+    SlotConsumer,
+    SlotManager,
+)
+from canvasyoke.target._lease_keeper import LeaseManager
 from fakes.memory_platform import MemoryPlatform
 
 SLOTS = 8
-WALL = 1_700_000_000_000
+WALL_OFFSET = 1_700_000_000_000
 
 
-class Desk(SlotUser):
-    """Remembers and runs keys as the real desk does, in the test's own time."""
+class FakeConsumer(SlotConsumer):
+    """Caches keys like the real scheduler, without running requests."""
 
     def __init__(self) -> None:
-        self.memory = IdempotencyCache()
-        self.holding = NOTHING
+        self.cache = IdempotencyCache()
+        self.holding = NO_SLOTS
 
-    def hold(self, holding: Holding, inherited: Sequence[HandoverEntry]) -> None:
-        self.memory.import_entries(inherited)
+    def apply_holding(self, holding: Holding, inherited_keys: Sequence[HandoverEntry]) -> None:
+        self.cache.import_entries(inherited_keys)
         self.holding = holding
 
-    def surrender(self, holding: Holding, slots: Iterable[int]) -> Surrendered:
-        keys = {s: self.memory.export_entries(s, self.holding.count) for s in slots}
+    def release_slots(self, holding: Holding, slots: Iterable[int]) -> ReleasedKeys:
+        keys = {s: self.cache.export_entries(s, self.holding.count) for s in slots}
         self.holding = holding
-        return Surrendered(keys, self.memory.dropped_before)
+        return ReleasedKeys(keys, self.cache.dropped_before)
 
 
 class Target:
-    """One target process without sockets."""
+    """A target process without sockets."""
 
     def __init__(
         self, platform: MemoryPlatform, clock: ManualClock, name: str, run: str, address: str = ""
     ) -> None:
-        self.desk = Desk()
+        self.consumer = FakeConsumer()
         self.address = address or name
-        self.lease = LeaseKeeper(platform, clock, "shelf", name, run, self.address)
+        self.lease = LeaseManager(platform, clock, "shelf", name, run, self.address)
         self._clock = clock
-        self.keeper = HomeKeeper(
+        self.manager = SlotManager(
             platform,
             clock,
             "shelf",
             name,
             lambda: SLOTS,
-            self.desk,
+            self.consumer,
             self.lease,
         )
 
     def step(self) -> None:
-        self.keeper.step(SLOTS)
+        self.manager.step(SLOTS)
 
     def run(self, key: str, made: int) -> str:
-        """Run a key; return ``ran`` or the reason of the refusal."""
-        req = KeyedRequest(key, "org", made, b"d")
-        holding = self.desk.holding
-        view = HolderState(
+        """Run a key; return ``ran``, ``joined`` or the reason of the refusal."""
+        keyed_request = KeyedRequest(key, "org", made, b"d")
+        holding = self.consumer.holding
+        holder = HolderState(
             holding.slots, holding.count, self.lease.valid, self._clock.wall(), 600_000
         )
-        verdict = check_key(req, view, self.desk.memory)
-        if verdict.refusal is not None:
-            return verdict.refusal.reason
-        if verdict.record is None:
-            self.desk.memory.begin(req.name, made, b"d", "work")
-            self.desk.memory.finish(req.name, 1)
+        decision = check_key(keyed_request, holder, self.consumer.cache)
+        if decision.refusal is not None:
+            return decision.refusal.reason
+        if decision.record is None:
+            self.consumer.cache.begin(keyed_request.name, made, b"d", "work")
+            self.consumer.cache.finish(keyed_request.name, 1)
             return "ran"
         return "joined"
 
 
 @pytest.fixture
 def clock() -> ManualClock:
-    return ManualClock(start=100_000, wall_offset=WALL)
+    return ManualClock(start=100_000, wall_offset=WALL_OFFSET)
 
 
 @pytest.fixture
@@ -90,59 +96,59 @@
     return MemoryPlatform()
 
 
-def settle(clock: ManualClock, targets: Sequence[Target], seconds: int) -> None:
+def run_steps(clock: ManualClock, targets: Sequence[Target], seconds: int) -> None:
     for _ in range(seconds):
         for target in targets:
             target.step()
         clock.advance(1_000)
 
 
-def held(target: Target) -> int:
-    return len(target.desk.holding.slots) if target.lease.valid else 0
+def held_count(target: Target) -> int:
+    return len(target.consumer.holding.slots) if target.lease.valid else 0
 
 
 def key_in(slots: Iterable[int], wall: int, seed: int = 0) -> str:
     """Return a key made at ``wall`` that falls into one of ``slots``."""
     rng = random.Random(seed)
-    wanted = set(slots)
+    wanted_slots = set(slots)
     while True:
         key = new_key(wall, rng)
-        if slot_of(key, SLOTS) in wanted:
+        if slot_of(key, SLOTS) in wanted_slots:
             return key
 
 
-def test_slots_are_shared_out_evenly(clock: ManualClock, platform: MemoryPlatform) -> None:
+def test_slots_are_distributed_evenly(clock: ManualClock, platform: MemoryPlatform) -> None:
     targets = [Target(platform, clock, f"t-{i}", "run") for i in range(3)]
-    settle(clock, targets[:1], 2)
-    assert held(targets[0]) == SLOTS
-    settle(clock, targets, 12)
-    assert sorted(held(t) for t in targets) == [2, 3, 3]
+    run_steps(clock, targets[:1], 2)
+    assert held_count(targets[0]) == SLOTS
+    run_steps(clock, targets, 12)
+    assert sorted(held_count(t) for t in targets) == [2, 3, 3]
 
 
-def test_planned_stop_hands_keys_over(clock: ManualClock, platform: MemoryPlatform) -> None:
+def test_planned_stop_hands_over_keys(clock: ManualClock, platform: MemoryPlatform) -> None:
     old, new = Target(platform, clock, "t-1", "run"), Target(platform, clock, "t-2", "run")
-    settle(clock, [old], 2)
+    run_steps(clock, [old], 2)
     made = clock.wall()
     key = key_in(range(SLOTS), made)
     assert old.run(key, made) == "ran"
-    old.keeper.release()
-    settle(clock, [new], 2)
-    assert held(new) == SLOTS
+    old.manager.release()
+    run_steps(clock, [new], 2)
+    assert held_count(new) == SLOTS
     assert new.run(key, made) == Reason.ANSWER_NOT_KEPT
-    assert new.run(key_in(range(SLOTS), made, seed=1), made) == "ran", "made before the move"
+    assert new.run(key_in(range(SLOTS), made, seed=1), made) == "ran", "created before the handover"
     assert not [k for k in platform.objects if k.startswith("handover/")]
 
 
-def test_killed_holder_s_keys_are_refused(clock: ManualClock, platform: MemoryPlatform) -> None:
+def test_keys_of_a_killed_holder_are_refused(clock: ManualClock, platform: MemoryPlatform) -> None:
     old, new = Target(platform, clock, "t-1", "run"), Target(platform, clock, "t-2", "run")
-    settle(clock, [old], 2)
+    run_steps(clock, [old], 2)
     made = clock.wall()
     key = key_in(range(SLOTS), made)
     assert old.run(key, made) == "ran"
-    settle(clock, [new], 10)
-    assert held(new) == 0, "the lease has not lapsed"
-    settle(clock, [new], 10)
-    assert held(new) == SLOTS
+    run_steps(clock, [new], 10)
+    assert held_count(new) == 0, "the lease has not expired yet"
+    run_steps(clock, [new], 10)
+    assert held_count(new) == SLOTS
     assert new.run(key, made) == Reason.KEY_BEFORE_HOME
     clock.advance(3_000)
     later = clock.wall()
@@ -150,39 +156,37 @@
     assert new.run(key_in(range(SLOTS), later), later) == "ran"
 
 
-def test_paused_holder_wakes_without_its_slots(
-    clock: ManualClock, platform: MemoryPlatform
-) -> None:
+def test_paused_holder_loses_its_slots(clock: ManualClock, platform: MemoryPlatform) -> None:
     paused, new = Target(platform, clock, "t-1", "run"), Target(platform, clock, "t-2", "run")
-    settle(clock, [paused], 2)
-    settle(clock, [new], 25)
-    assert held(new) == SLOTS
+    run_steps(clock, [paused], 2)
+    run_steps(clock, [new], 25)
+    assert held_count(new) == SLOTS
     made = clock.wall()
     key = key_in(range(SLOTS), made)
-    assert paused.run(key, made) == Reason.NOT_HOME, "before it has looked at anything"
+    assert paused.run(key, made) == Reason.NOT_HOME, "expired lease, before its next step"
     paused.step()
-    assert held(paused) == 0
-    settle(clock, [paused, new], 8)
-    assert held(paused) + held(new) == SLOTS
-    assert not set(paused.desk.holding.slots) & set(new.desk.holding.slots)
+    assert held_count(paused) == 0
+    run_steps(clock, [paused, new], 8)
+    assert held_count(paused) + held_count(new) == SLOTS
+    assert not set(paused.consumer.holding.slots) & set(new.consumer.holding.slots)
 
 
-def test_holder_that_wakes_while_its_slots_are_being_taken(
+def test_holder_resumes_while_its_slots_are_being_taken(
     clock: ManualClock, platform: MemoryPlatform
 ) -> None:
-    """It wins its lease back before the table is written, then hears nothing more."""
+    """The holder regains its lease just before the table write that takes its slots."""
     paused, new = Target(platform, clock, "t-1", "run"), Target(platform, clock, "t-2", "run")
-    settle(clock, [paused, new], 12)
-    assert held(paused) == held(new) == SLOTS // 2
-    settle(clock, [new], 15)
+    run_steps(clock, [paused, new], 12)
+    assert held_count(paused) == held_count(new) == SLOTS // 2
+    run_steps(clock, [new], 15)
 
-    def wake() -> None:
-        paused.step()  # finds its lease broken
+    def resume() -> None:
+        paused.step()  # detects that its lease was revoked
         clock.advance(3_000)
-        paused.step()  # has one again, and reads a table that still names it
+        paused.step()  # renews, and reads a table that still lists it as holder
 
-    platform.before_write["homes/shelf"] = wake
-    settle(clock, [new], 4)
+    platform.before_write["homes/shelf"] = resume
+    run_steps(clock, [new], 4)
     clock.advance(3_000)
     made = clock.wall()
     for slot in range(SLOTS):
@@ -190,55 +194,55 @@
         assert [new.run(key, made), paused.run(key, made)].count("ran") == 1
 
 
-def test_restart_at_the_same_address_takes_over_at_once(
+def test_restart_at_the_same_address_takes_over_immediately(
     clock: ManualClock, platform: MemoryPlatform
 ) -> None:
     old = Target(platform, clock, "t-1", "run-1", "10.0.0.1:1")
-    settle(clock, [old], 2)
+    run_steps(clock, [old], 2)
     made = clock.wall()
-    again = Target(platform, clock, "t-1", "run-2", "10.0.0.1:1")
-    again.step()
-    assert held(again) == SLOTS
-    assert again.run(key_in(range(SLOTS), made), made) == Reason.KEY_BEFORE_HOME
+    restarted = Target(platform, clock, "t-1", "run-2", "10.0.0.1:1")
+    restarted.step()
+    assert held_count(restarted) == SLOTS
+    assert restarted.run(key_in(range(SLOTS), made), made) == Reason.KEY_BEFORE_HOME
 
 
-def test_replacement_at_another_address_waits_for_the_lease(
+def test_replacement_at_another_address_waits_for_lease_expiry(
     clock: ManualClock, platform: MemoryPlatform
 ) -> None:
     old = Target(platform, clock, "t-1", "run-1", "10.0.0.1:1")
-    settle(clock, [old], 2)
-    replaced = Target(platform, clock, "t-1", "run-2", "10.0.0.2:1")
-    settle(clock, [replaced], 10)
-    assert held(old) == SLOTS or not old.lease.valid
-    assert held(replaced) == 0
-    settle(clock, [replaced], 12)
-    assert held(replaced) == SLOTS
+    run_steps(clock, [old], 2)
+    replacement = Target(platform, clock, "t-1", "run-2", "10.0.0.2:1")
+    run_steps(clock, [replacement], 10)
+    assert held_count(old) == SLOTS or not old.lease.valid
+    assert held_count(replacement) == 0
+    run_steps(clock, [replacement], 12)
+    assert held_count(replacement) == SLOTS
     old.step()
-    assert held(old) == 0
+    assert held_count(old) == 0
 
 
-def test_lease_runs_down_while_the_platform_is_out(
+def test_lease_expires_during_a_platform_outage(
     clock: ManualClock, platform: MemoryPlatform
 ) -> None:
     target = Target(platform, clock, "t-1", "run")
-    settle(clock, [target], 2)
+    run_steps(clock, [target], 2)
     platform.down = True
-    settle(clock, [target], 10)
-    assert held(target) == SLOTS, "nobody can have taken them yet"
-    settle(clock, [target], 10)
-    assert held(target) == 0
+    run_steps(clock, [target], 10)
+    assert held_count(target) == SLOTS, "the lease has not expired yet"
+    run_steps(clock, [target], 10)
+    assert held_count(target) == 0
     platform.down = False
     target.step()
     made = clock.wall()
-    assert held(target) == SLOTS
-    assert target.run(key_in(range(SLOTS), made), made) == "ran", "nobody was in between"
+    assert held_count(target) == SLOTS
+    assert target.run(key_in(range(SLOTS), made), made) == "ran", "no other target held the slots"
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_no_key_runs_twice_through_any_mix_of_faults(seed: int) -> None:
-    """Kills, pauses, planned stops, lost answers and outages, in seeded disorder."""
+def test_no_key_runs_twice_under_random_faults(seed: int) -> None:
+    """Random kills, pauses, planned stops, lost answers and outages; seeded."""
     rng = random.Random(seed)
-    clock = ManualClock(start=100_000, wall_offset=WALL)
+    clock = ManualClock(start=100_000, wall_offset=WALL_OFFSET)
     platform = MemoryPlatform()
     live = [Target(platform, clock, f"t-{i}", f"run-{i}") for i in range(3)]
     paused: list[Target] = []
@@ -249,12 +253,12 @@
         event = rng.random()
         index = rng.randrange(3)
         if event < 0.06:
-            # Killed; only a process that is dead leaves its address to another.
+            # Killed: its replacement can bind the same address.
             live[index] = Target(
                 platform, clock, f"t-{index}", f"later-{step}", live[index].address
             )
         elif event < 0.10:
-            live[index].keeper.release()
+            live[index].manager.release()
             live[index] = Target(
                 platform, clock, f"t-{index}", f"later-{step}", live[index].address
             )
@@ -278,38 +282,42 @@
     assert len(runs) > 20
 
 
-def test_holders_that_share_what_was_given_back_remember_its_keys(
+def test_slots_of_one_handover_object_can_go_to_several_holders(
     clock: ManualClock, platform: MemoryPlatform
 ) -> None:
-    """One object tells of several slots; it goes with the last of them."""
+    """The object is deleted when its last slot has been taken."""
     old = Target(platform, clock, "t-1", "run")
-    settle(clock, [old], 2)
+    run_steps(clock, [old], 2)
     made = clock.wall()
     keys = [key_in([slot], made) for slot in range(SLOTS)]
     assert {old.run(key, made) for key in keys} == {"ran"}
     new = [Target(platform, clock, f"t-{i}", "run") for i in (2, 3)]
-    settle(clock, new, 1)  # both have leases, and neither has a slot
-    old.keeper.release()
-    settle(clock, new, 5)
-    assert sorted(held(each) for each in new) == [SLOTS // 2, SLOTS // 2]
+    run_steps(clock, new, 1)  # both hold leases but no slots
+    old.manager.release()
+    run_steps(clock, new, 5)
+    assert sorted(held_count(each) for each in new) == [SLOTS // 2, SLOTS // 2]
     for key in keys:
-        verdicts = {each.run(key, made) for each in new}
-        assert verdicts == {Reason.NOT_HOME, Reason.ANSWER_NOT_KEPT}
+        results = {each.run(key, made) for each in new}
+        assert results == {Reason.NOT_HOME, Reason.ANSWER_NOT_KEPT}
     assert not [key for key in platform.objects if key.startswith("handover/")]
 
 
-def test_a_holder_to_be_looks_again_soon(clock: ManualClock, platform: MemoryPlatform) -> None:
-    """A slot that is given back waits for the next reading; a second is long for a caller."""
+def test_polls_faster_while_slots_are_expected(
+    clock: ManualClock, platform: MemoryPlatform
+) -> None:
+    """Requests for a released slot wait until its next holder reads the table."""
     old, new = Target(platform, clock, "t-1", "run"), Target(platform, clock, "t-2", "run")
-    settle(clock, [old], 2)
+    run_steps(clock, [old], 2)
     new.step()
-    assert (held(new), new.keeper.pause) == (0, 200)
-    settle(clock, [old, new], 6)
-    assert (held(old), old.keeper.pause) == (SLOTS // 2, 1_000)
-    assert (held(new), new.keeper.pause) == (SLOTS // 2, 1_000)
+    assert (held_count(new), new.manager.poll_delay) == (0, 200)
+    run_steps(clock, [old, new], 6)
+    assert (held_count(old), old.manager.poll_delay) == (SLOTS // 2, 1_000)
+    assert (held_count(new), new.manager.poll_delay) == (SLOTS // 2, 1_000)
 
 
-def test_uneven_shares_are_not_waited_for(clock: ManualClock, platform: MemoryPlatform) -> None:
+def test_polls_normally_with_uneven_fair_shares(
+    clock: ManualClock, platform: MemoryPlatform
+) -> None:
     targets = [Target(platform, clock, f"t-{i}", "run") for i in range(3)]
-    settle(clock, targets, 12)
-    assert {each.keeper.pause for each in targets} == {1_000}
+    run_steps(clock, targets, 12)
+    assert {each.manager.poll_delay for each in targets} == {1_000}
--- a/src/canvasyoke/target/tests/test_rank.py
+++ b/src/canvasyoke/target/tests/test_rank.py
@@ -1,27 +1,27 @@
-"""Fences hold whether or not the engine checks them."""
+"""Tests that outdated orders are fenced even if the engine does not check them."""
 
 import pytest
 
 from canvasyoke.backend import RankAnswer, RankOrder, RankPort
 from canvasyoke.protocol import GroupOrder
-from canvasyoke.target._rank import Fence, RankGuard
+from canvasyoke.target._rank import MapVersion, RankGuard
 
 
-class Engine(RankPort):
-    """Carries out whatever it is told; checks nothing."""
+class FakeRankPort(RankPort):
+    """Executes every order without checks."""
 
     def __init__(self) -> None:
-        self.in_force = Fence()
-        self.done: list[tuple[str, int, int]] = []
+        self.active_version = MapVersion()
+        self.executed: list[tuple[str, int, int]] = []
         self.up = True
 
     def order(self, order: RankOrder) -> RankAnswer:
         if not self.up:
             return RankAnswer(False, "down")
-        self.done.append((order.action, order.epoch, order.number))
+        self.executed.append((order.action, order.epoch, order.number))
         if order.action == "activate":
-            self.in_force = Fence(order.epoch, order.number)
-        return RankAnswer(True, "", self.in_force.epoch, self.in_force.number)
+            self.active_version = MapVersion(order.epoch, order.number)
+        return RankAnswer(True, "", self.active_version.epoch, self.active_version.number)
 
 
 def order(action: str, epoch: int, number: int, rank: int = 2, group: str = "ink") -> GroupOrder:
@@ -29,17 +29,17 @@
 
 
 @pytest.fixture
-def engine() -> Engine:
-    return Engine()
+def port() -> FakeRankPort:
+    return FakeRankPort()
 
 
 @pytest.fixture
-def guard(engine: Engine) -> RankGuard:
-    return RankGuard(engine, "ink", 2)
+def guard(port: FakeRankPort) -> RankGuard:
+    return RankGuard(port, "ink", 2)
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "stale_order",
     [
         order("prepare", 4, 9),
         order("activate", 4, 9),
@@ -49,32 +49,34 @@
         order("prepare", 6, 1, group="other"),
     ],
 )
-def test_orders_that_are_behind_never_reach_the_engine(
-    engine: Engine, guard: RankGuard, behind: GroupOrder
+def test_outdated_orders_never_reach_the_rank(
+    port: FakeRankPort, guard: RankGuard, stale_order: GroupOrder
 ) -> None:
-    assert guard.carry(order("prepare", 5, 2)).ok
-    before = list(engine.done)
-    reply = guard.carry(behind)
+    assert guard.execute(order("prepare", 5, 2)).ok
+    before = list(port.executed)
+    reply = guard.execute(stale_order)
     assert not reply.ok
-    assert engine.done == before
+    assert port.executed == before
 
 
-def test_paused_owner_learns_that_it_is_behind(guard: RankGuard) -> None:
-    guard.carry(order("prepare", 5, 1))
-    reply = guard.carry(order("counts", 4, 7))
+def test_outdated_owner_is_told_the_current_epoch(guard: RankGuard) -> None:
+    guard.execute(order("prepare", 5, 1))
+    reply = guard.execute(order("counts", 4, 7))
     assert (reply.ok, reply.epoch) == (False, 5)
 
 
-def test_restarted_guard_learns_from_its_engine_first(engine: Engine, guard: RankGuard) -> None:
-    guard.carry(order("prepare", 5, 2))
-    guard.carry(order("activate", 5, 2))
-    again = RankGuard(engine, "ink", 2)
-    assert not again.carry(order("activate", 5, 1)).ok
-    assert engine.in_force == Fence(5, 2)
+def test_restarted_guard_queries_the_rank_first(port: FakeRankPort, guard: RankGuard) -> None:
+    guard.execute(order("prepare", 5, 2))
+    guard.execute(order("activate", 5, 2))
+    restarted = RankGuard(port, "ink", 2)
+    assert not restarted.execute(order("activate", 5, 1)).ok
+    assert port.active_version == MapVersion(5, 2)
 
 
-def test_nothing_is_obeyed_while_the_engine_is_silent(engine: Engine, guard: RankGuard) -> None:
-    engine.up = False
-    assert not guard.carry(order("prepare", 1, 1)).ok
-    engine.up = True
-    assert guard.carry(order("prepare", 1, 1)).ok
+def test_orders_are_refused_while_the_rank_is_unreachable(
+    port: FakeRankPort, guard: RankGuard
+) -> None:
+    port.up = False
+    assert not guard.execute(order("prepare", 1, 1)).ok
+    port.up = True
+    assert guard.execute(order("prepare", 1, 1)).ok
