--- a/src/canvasyoke/target/_owner.py
+++ b/src/canvasyoke/target/_owner.py
@@ -40,7 +40,7 @@
     Unavailable,
     Written,
 )
-from canvasyoke.target._ranks import RankLinks
+from canvasyoke.target._rank_links import RankLinks
 
 _log = part_logger("map")
 _LEASE_PREFIX: Final = "groups/"
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -36,12 +36,12 @@
     Snapshot,
     TargetSettings,
 )
-from canvasyoke.target._desk import RequestScheduler, SchedulerLoad, SchedulerSlots
-from canvasyoke.target._homes import NO_SLOTS, Holding, SlotManager
-from canvasyoke.target._lease_keeper import LeaseManager
+from canvasyoke.target._lease_manager import LeaseManager
 from canvasyoke.target._owner import MapOwner
-from canvasyoke.target._rank import RankGuard
-from canvasyoke.target._ranks import RankLinks
+from canvasyoke.target._rank_guard import RankGuard
+from canvasyoke.target._rank_links import RankLinks
+from canvasyoke.target._scheduler import RequestScheduler, SchedulerLoad, SchedulerSlots
+from canvasyoke.target._slot_manager import NO_SLOTS, Holding, SlotManager
 from canvasyoke.transport import LinkServer, Session
 
 _log = part_logger("target")
--- a/src/canvasyoke/target/_desk.py
+++ b/src/canvasyoke/target/_scheduler.py
@@ -26,9 +26,9 @@
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import MalformedKeyError, Outcome, Reason, Refusal, Run, key_time
 from canvasyoke.state import ConfigView, Engine, FleetConfig, Service
-from canvasyoke.target._homes import NO_SLOTS, Holding, ReleasedKeys, SlotConsumer
-from canvasyoke.target._ids import AttemptId, SeenAttempts
-from canvasyoke.target._lease_keeper import LeaseManager
+from canvasyoke.target._lease_manager import LeaseManager
+from canvasyoke.target._seen_attempts import AttemptId, SeenAttempts
+from canvasyoke.target._slot_manager import NO_SLOTS, Holding, ReleasedKeys, SlotConsumer
 from canvasyoke.target._work import Reader, Work, WorkState
 from canvasyoke.transport import Session
 
--- a/src/canvasyoke/target/_homes.py
+++ b/src/canvasyoke/target/_slot_manager.py
@@ -24,8 +24,8 @@
 from canvasyoke.coordination import CLOCK_MARGIN, HandoverEntry, Slot, SlotTable
 from canvasyoke.observe import part_logger
 from canvasyoke.state import CREATE, Absent, Platform, Unavailable, Written
-from canvasyoke.target._handovers import HandoverStore
-from canvasyoke.target._lease_keeper import LeaseManager
+from canvasyoke.target._handover_store import HandoverStore
+from canvasyoke.target._lease_manager import LeaseManager
 
 _log = part_logger("homes")
 _TABLE_PREFIX: Final = "homes/"
--- a/src/canvasyoke/target/tests/test_handovers.py
+++ b/src/canvasyoke/target/tests/test_handover_store.py
@@ -7,7 +7,7 @@
 import pytest
 
 from canvasyoke.coordination import HandoverEntry, slot_of
-from canvasyoke.target._handovers import HandoverStore
+from canvasyoke.target._handover_store import HandoverStore
 from fakes.memory_platform import MemoryPlatform
 
 SLOT_COUNT = 8
--- a/src/canvasyoke/target/tests/test_rank.py
+++ b/src/canvasyoke/target/tests/test_rank_guard.py
@@ -4,7 +4,7 @@
 
 from canvasyoke.backend import RankAnswer, RankOrder, RankPort
 from canvasyoke.protocol import GroupOrder
-from canvasyoke.target._rank import MapVersion, RankGuard
+from canvasyoke.target._rank_guard import MapVersion, RankGuard
 
 
 class FakeRankPort(RankPort):
--- a/src/canvasyoke/target/tests/test_desk.py
+++ b/src/canvasyoke/target/tests/test_scheduler.py
@@ -27,8 +27,8 @@
     new_key,
 )
 from canvasyoke.state import ConfigView, FleetConfig, build_config, check_file
-from canvasyoke.target._desk import RequestScheduler
-from canvasyoke.target._homes import Holding
+from canvasyoke.target._scheduler import RequestScheduler
+from canvasyoke.target._slot_manager import Holding
 from fakes.launcher import wait_until
 
 CONFIG = """
--- a/src/canvasyoke/target/tests/test_homes.py
+++ b/src/canvasyoke/target/tests/test_slot_manager.py
@@ -15,14 +15,14 @@
     slot_of,
 )
 from canvasyoke.protocol import Reason, new_key
-from canvasyoke.target._homes import (
+from canvasyoke.target._lease_manager import LeaseManager
+from canvasyoke.target._slot_manager import (
     NO_SLOTS,
     Holding,
     ReleasedKeys,
     SlotConsumer,
     SlotManager,
 )
-from canvasyoke.target._lease_keeper import LeaseManager
 from fakes.memory_platform import MemoryPlatform
 
 SLOTS = 8
