--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -26,7 +26,7 @@
     new_key,
 )
 from canvasyoke.state import FileModel, Snapshot
-from canvasyoke.state._submission import digest_of, encode_file
+from canvasyoke.state._submission import content_digest, encode_file
 from fakes.launcher import LINK_KEY, ROOT, Fleet, FleetSpec
 from fakes.ports import free_address
 
@@ -114,7 +114,7 @@
 def adopt(model: FileModel) -> tuple[float, float, float]:
     """Return the bytes (MB) of a file, memory (MB) and seconds to put it in force."""
     data = encode_file(model)
-    digest = digest_of(data)
+    digest = content_digest(data)
     root = msgspec.json.encode({"generation": 1, "files": {"f": digest}})
     snapshot = Snapshot(root, {digest: data})
     began = time.process_time()
--- a/src/canvasyoke/cli/_main.py
+++ b/src/canvasyoke/cli/_main.py
@@ -24,31 +24,31 @@
     """
     arguments = list(sys.argv[1:] if argv is None else argv)
     if not arguments or arguments[0] in ("-h", "--help", "help"):
-        print(_overview())
+        print(_format_overview())
         return 0 if arguments else USAGE
     name, rest = arguments[0], arguments[1:]
     if name not in COMMANDS.names():
-        return _usage(f"no command is called {name!r}; see canvasyoke --help")
+        return _usage_error(f"no command is called {name!r}; see canvasyoke --help")
     command = COMMANDS.get(name)
     if any(argument in ("-h", "--help") for argument in rest):
-        print(_help(name, command))
+        print(_format_help(name, command))
         return 0
-    bound = _bind(command, rest)
+    bound = _bind_arguments(command, rest)
     if isinstance(bound, str):
-        return _usage(f"{bound}; see canvasyoke {name} --help")
+        return _usage_error(f"{bound}; see canvasyoke {name} --help")
     if name in DAEMONS:
         return command(*bound.positional, **bound.options)
     return _run_with_fire(command, bound)
 
 
 @dataclass(slots=True)
-class _Bound:
+class _BoundArguments:
     """Arguments that fit a command."""
 
     positional: list[str] = field(default_factory=list)
     options: dict[str, str] = field(default_factory=dict)
 
-    def words(self) -> list[str]:
+    def to_argv(self) -> list[str]:
         """Return the arguments as words, options last."""
         words = list(self.positional)
         for name, value in self.options.items():
@@ -56,7 +56,7 @@
         return words
 
 
-def _run_with_fire(command: Command, bound: _Bound) -> int:
+def _run_with_fire(command: Command, bound: _BoundArguments) -> int:
     import fire
     from fire.decorators import SetParseFn
 
@@ -65,16 +65,16 @@
     def run(*args: str, **options: str) -> None:
         results.append(command(*args, **options))
 
-    fire.Fire(SetParseFn(str)(run), command=bound.words(), name="canvasyoke")
+    fire.Fire(SetParseFn(str)(run), command=bound.to_argv(), name="canvasyoke")
     return results[0]
 
 
-def _bind(command: Command, words: Sequence[str]) -> _Bound | str:
+def _bind_arguments(command: Command, words: Sequence[str]) -> _BoundArguments | str:
     """Return the arguments in ``words``, or what is wrong with them."""
     parameters = inspect.signature(command).parameters.values()
     options = {p.name: p for p in parameters if p.kind is p.KEYWORD_ONLY}
-    takes_files = any(p.kind is p.VAR_POSITIONAL for p in parameters)
-    bound = _Bound()
+    accepts_files = any(p.kind is p.VAR_POSITIONAL for p in parameters)
+    bound = _BoundArguments()
     rest = iter(words)
     for word in rest:
         if not word.startswith("-") or word == "-":
@@ -87,14 +87,14 @@
         if name in bound.options:
             return f"option --{name} stands twice"
         if not equals:
-            following = next(rest, None)
-            if following is None or following.startswith("--"):
+            next_argument = next(rest, None)
+            if next_argument is None or next_argument.startswith("--"):
                 return f"option --{name} needs a value"
-            value = following
+            value = next_argument
         bound.options[name] = value
-    if bound.positional and not takes_files:
+    if bound.positional and not accepts_files:
         return f"unexpected argument {bound.positional[0]!r}"
-    if takes_files and not bound.positional:
+    if accepts_files and not bound.positional:
         return "at least one FILE is needed"
     for name, parameter in options.items():
         if parameter.default is parameter.empty and name not in bound.options:
@@ -102,7 +102,7 @@
     return bound
 
 
-def _overview() -> str:
+def _format_overview() -> str:
     lines = ["canvasyoke: a load balancer for expert-parallel model groups", "", "Commands:"]
     for name in COMMANDS.names():
         summary = (COMMANDS.get(name).__doc__ or "").strip().splitlines()[0]
@@ -111,7 +111,7 @@
     return "\n".join(lines)
 
 
-def _help(name: str, command: Callable[..., int]) -> str:
+def _format_help(name: str, command: Callable[..., int]) -> str:
     parameters = inspect.signature(command).parameters.values()
     words = [f"canvasyoke {name}"]
     for parameter in parameters:
@@ -124,6 +124,6 @@
     return f"usage: {' '.join(words)}\n\n{inspect.getdoc(command)}"
 
 
-def _usage(text: str) -> int:
+def _usage_error(text: str) -> int:
     print(f"canvasyoke: {text}", file=sys.stderr)
     return USAGE
--- a/src/canvasyoke/cli/_operator.py
+++ b/src/canvasyoke/cli/_operator.py
@@ -45,16 +45,16 @@
 _STATUS_TIMEOUT: Final = 5.0
 
 
-class _Loaded(msgspec.Struct):
+class _LoadedFiles(msgspec.Struct):
     """Files that are each in order, and the documents that tell their lines."""
 
     models: dict[str, FileModel]
     documents: dict[str, Document]
 
 
-def _load(files: Sequence[str]) -> _Loaded | list[Fault]:
+def _load_files(files: Sequence[str]) -> _LoadedFiles | list[Fault]:
     """Return the files, or every fault in any of them."""
-    loaded = _Loaded({}, {})
+    loaded = _LoadedFiles({}, {})
     faults: list[Fault] = []
     for file in files:
         name = os.path.basename(file)
@@ -76,16 +76,18 @@
     return faults or loaded
 
 
-def _place(faults: Sequence[ReferenceFault], documents: Mapping[str, Document]) -> list[Fault]:
+def _locate_faults(
+    faults: Sequence[ReferenceFault], documents: Mapping[str, Document]
+) -> list[Fault]:
     """Return ``faults`` with lines, where their file was given."""
-    placed = []
+    located = []
     for fault in faults:
         document = documents.get(fault.file)
         if document is None:
-            placed.append(Fault(fault.file, 1, ".".join(fault.path), fault.expected))
+            located.append(Fault(fault.file, 1, ".".join(fault.path), fault.expected))
         else:
-            placed.append(document.fault(fault.path, fault.expected))
-    return placed
+            located.append(document.fault(fault.path, fault.expected))
+    return located
 
 
 def _print_faults(faults: Sequence[Fault]) -> int:
@@ -102,12 +104,12 @@
 
     Prints every fault with file, line, path and what was expected.
     """
-    loaded = _load(files)
+    loaded = _load_files(files)
     if isinstance(loaded, list):
         return _print_faults(loaded)
     built = build_config(1, loaded.models)
     if isinstance(built, list):
-        return _print_faults(_place(built, loaded.documents))
+        return _print_faults(_locate_faults(built, loaded.documents))
     print(f"{len(loaded.models)} file(s) in order")
     return DONE
 
@@ -134,7 +136,7 @@
     """
     if not generation.isdigit():
         return _usage_error(f"--generation takes a number, not {generation!r}")
-    loaded = _load(files)
+    loaded = _load_files(files)
     if isinstance(loaded, list):
         return _print_faults(loaded)
     clock = SystemClock()
@@ -150,7 +152,7 @@
     recorded = AuditTrail(store).append(_audit_entry(submission, result, clock.wall()))
     if not recorded:
         print("canvasyoke: the audit trail could not be written", file=sys.stderr)
-    return _report(result, loaded)
+    return _print_result(result, loaded)
 
 
 def _audit_entry(submission: Submission, result: SubmitResult, wall: int) -> AuditEntry:
@@ -174,7 +176,7 @@
     )
 
 
-def _report(result: SubmitResult, loaded: _Loaded) -> int:
+def _print_result(result: SubmitResult, loaded: _LoadedFiles) -> int:
     match result:
         case Accepted(generation):
             print(f"accepted: generation {generation}")
@@ -184,7 +186,7 @@
             for change in result.changes:
                 what = f"generation {change.generation} by {change.operator}"
                 print(f"  {what}: {', '.join(change.files)}", file=sys.stderr)
-            _print_faults(_place(result.faults, loaded.documents))
+            _print_faults(_locate_faults(result.faults, loaded.documents))
         case Ambiguous(detail):
             print(f"unknown: {detail}; see canvasyoke audit before trying again", file=sys.stderr)
     return REFUSED
@@ -234,8 +236,8 @@
     if response.status != HTTPStatus.OK:
         print(f"canvasyoke: {response.data.decode().strip()}", file=sys.stderr)
         return REFUSED
-    as_it_is = release or output == "json"
-    print(response.data.decode().strip() if as_it_is else render_quarantine(response.data))
+    print_raw = release or output == "json"
+    print(response.data.decode().strip() if print_raw else render_quarantine(response.data))
     return DONE
 
 
@@ -262,7 +264,7 @@
         start = _parse_time(since)
     except ValueError:
         return _usage_error(f"--since takes a time like 2026-01-31T08:00, not {since!r}")
-    entries = _read_trail(PLATFORMS.get(adapter)(platform), start, service)
+    entries = _read_audit_entries(PLATFORMS.get(adapter)(platform), start, service)
     if isinstance(entries, Unavailable):
         print(f"canvasyoke: the platform does not answer: {entries.detail}", file=sys.stderr)
         return REFUSED
@@ -270,7 +272,9 @@
     return DONE
 
 
-def _read_trail(platform: Platform, since: int, subject: str) -> list[AuditEntry] | Unavailable:
+def _read_audit_entries(
+    platform: Platform, since: int, subject: str
+) -> list[AuditEntry] | Unavailable:
     """Return the trail, with changes from the root that never reached it."""
     entries = AuditTrail(platform).read(since, subject)
     root = read_root(platform)
@@ -301,10 +305,10 @@
 def _parse_time(text: str) -> int:
     if not text:
         return 0
-    moment = datetime.datetime.fromisoformat(text)
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.UTC)
-    return round(moment.timestamp() * 1_000)
+    timestamp = datetime.datetime.fromisoformat(text)
+    if timestamp.tzinfo is None:
+        timestamp = timestamp.replace(tzinfo=datetime.UTC)
+    return round(timestamp.timestamp() * 1_000)
 
 
 def _usage_error(text: str) -> int:
--- a/src/canvasyoke/cli/_render.py
+++ b/src/canvasyoke/cli/_render.py
@@ -25,7 +25,7 @@
     ]
     for target in status.targets:
         lines.append(
-            f"{target.instance:<20}{target.domain:<14}{target.service:<14}{_state(target):<10}"
+            f"{target.instance:<20}{target.domain:<14}{target.service:<14}{_target_state(target):<10}"
             f"{target.generation:>4}{f'{target.running}/{target.slots}':>9}"
             f"{target.queued:>8}{target.key_slots:>6}"
         )
@@ -41,7 +41,7 @@
     return "\n".join(lines)
 
 
-def _state(target: TargetStatus) -> str:
+def _target_state(target: TargetStatus) -> str:
     if not target.connected:
         return "no link"
     if target.leaving:
@@ -66,11 +66,11 @@
     """Return the audit trail as text, oldest first."""
     lines = []
     for entry in entries:
-        moment = datetime.datetime.fromtimestamp(entry.wall / 1_000, datetime.UTC)
+        timestamp = datetime.datetime.fromtimestamp(entry.wall / 1_000, datetime.UTC)
         subject = entry.subject or "fleet"
         why = f" ({entry.why})" if entry.why else ""
         lines.append(
-            f"{moment:%Y-%m-%dT%H:%M:%SZ} {entry.who}: {entry.action} of {subject} "
+            f"{timestamp:%Y-%m-%dT%H:%M:%SZ} {entry.who}: {entry.action} of {subject} "
             f"{entry.before} -> {entry.after} {entry.outcome}: {', '.join(entry.changed)}{why}"
         )
     return "\n".join(lines) or "the trail is empty"
--- a/src/canvasyoke/cli/_roles.py
+++ b/src/canvasyoke/cli/_roles.py
@@ -12,7 +12,12 @@
 import pynng
 
 from canvasyoke.cli._registry import COMMANDS, FAULT, REFUSED
-from canvasyoke.observe import LineWriter, part_logger, set_up_background_logs, set_up_logs
+from canvasyoke.observe import (
+    LineWriter,
+    configure_background_logging,
+    configure_logging,
+    part_logger,
+)
 from canvasyoke.state import (
     DirectSettings,
     EntrySettings,
@@ -24,7 +29,7 @@
 
 _log = part_logger("role")
 #: Milliseconds for the last log lines to be written before the process ends.
-_LAST_LINES = 500
+_FLUSH_TIMEOUT = 500
 
 
 @COMMANDS.register("entry")
@@ -38,8 +43,8 @@
     """
     loaded = load_settings(settings, EntrySettings)
     if isinstance(loaded, list):
-        return _refuse(loaded)
-    set_up_logs(loaded.log, loaded.instance)
+        return _print_faults(loaded)
+    configure_logging(loaded.log, loaded.instance)
     from canvasyoke.entry import EntryProcess
 
     return _run(lambda: EntryProcess(loaded).run())
@@ -56,8 +61,8 @@
     """
     loaded = load_settings(settings, TargetSettings)
     if isinstance(loaded, list):
-        return _refuse(loaded)
-    set_up_logs(loaded.log, loaded.instance)
+        return _print_faults(loaded)
+    configure_logging(loaded.log, loaded.instance)
     from canvasyoke.target import TargetProcess
 
     return _run(lambda: TargetProcess(loaded).run())
@@ -74,8 +79,8 @@
     """
     loaded = load_settings(settings, DirectSettings)
     if isinstance(loaded, list):
-        return _refuse(loaded)
-    writer = set_up_background_logs(loaded.log, loaded.instance, sys.stdout)
+        return _print_faults(loaded)
+    writer = configure_background_logging(loaded.log, loaded.instance, sys.stdout)
     from canvasyoke import platform  # noqa: F401  (it fills the registries)
     from canvasyoke.direct._process import DirectEntryProcess
 
@@ -90,39 +95,41 @@
     """
     loaded = load_settings(settings, RanksSettings)
     if isinstance(loaded, list):
-        return _refuse(loaded)
-    writer = set_up_background_logs(loaded.log, loaded.instance, sys.stdout)
+        return _print_faults(loaded)
+    writer = configure_background_logging(loaded.log, loaded.instance, sys.stdout)
     from canvasyoke import platform  # noqa: F401  (it fills the registries)
     from canvasyoke.experts._process import RanksProcess
 
     return _run(lambda: RanksProcess(loaded, settings).run(), writer)
 
 
-def _stop_on_fault(fault: threading.ExceptHookArgs, writer: LineWriter | None = None) -> None:
+def _exit_on_thread_failure(
+    failure: threading.ExceptHookArgs, writer: LineWriter | None = None
+) -> None:
     """End the process when one of its tasks dies: half a process helps nobody.
 
     Outcomes are values here, so an exception that reaches a task's end is a broken
     invariant. The platform starts the process again, and its peers know what to do.
     """
-    name = fault.thread.name if fault.thread else "?"
+    name = failure.thread.name if failure.thread else "?"
     trace = "".join(
-        traceback.format_exception(fault.exc_type, fault.exc_value, fault.exc_traceback)
+        traceback.format_exception(failure.exc_type, failure.exc_value, failure.exc_traceback)
     )
     _log.error("a task died, so the process ends", task=name, trace=trace)
-    _end(FAULT, writer)
+    _exit_process(FAULT, writer)
 
 
 def _run(role: Callable[[], int], writer: LineWriter | None = None) -> NoReturn:
-    threading.excepthook = lambda fault: _stop_on_fault(fault, writer)
+    threading.excepthook = lambda failure: _exit_on_thread_failure(failure, writer)
     try:
         code = role()
     except (OSError, LookupError, pynng.NNGException) as exc:
         print(f"canvasyoke: cannot start: {exc}", file=sys.stderr)
         code = REFUSED
-    _end(code, writer)
+    _exit_process(code, writer)
 
 
-def _end(code: int, writer: LineWriter | None) -> NoReturn:
+def _exit_process(code: int, writer: LineWriter | None) -> NoReturn:
     """End the process at once, with its last lines written and all else left as it is.
 
     Tasks still wait on their links. Torn down below them by an orderly exit of the
@@ -130,13 +137,13 @@
     it as a fault: with 16 waiting tasks ten of ten exits.
     """
     if writer is not None:
-        writer.flush(_LAST_LINES)
+        writer.flush(_FLUSH_TIMEOUT)
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(code)
 
 
-def _refuse(faults: Sequence[Fault]) -> int:
+def _print_faults(faults: Sequence[Fault]) -> int:
     for fault in faults:
         print(fault, file=sys.stderr)
     return REFUSED
--- a/src/canvasyoke/cli/tests/test_main.py
+++ b/src/canvasyoke/cli/tests/test_main.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code", "said"),
+    ("argv", "code", "expected_output"),
     [
         ([], 2, "Commands:"),
         (["--help"], 0, "Exit codes"),
@@ -26,23 +26,23 @@
         (["entry", "--settings", "/nonexistent"], 1, "cannot be read"),
     ],
 )
-def test_what_is_said_and_returned(
-    capsys: pytest.CaptureFixture[str], words: list[str], code: int, said: str
+def test_output_and_exit_code(
+    capsys: pytest.CaptureFixture[str], argv: list[str], code: int, expected_output: str
 ) -> None:
-    assert main(words) == code
+    assert main(argv) == code
     output = capsys.readouterr()
-    assert said in output.out + output.err
+    assert expected_output in output.out + output.err
 
 
 @pytest.mark.parametrize("fleet", ["panelmtaa", "volta"])
-def test_examples_are_in_order(capsys: pytest.CaptureFixture[str], fleet: str) -> None:
+def test_demo_configurations_are_valid(capsys: pytest.CaptureFixture[str], fleet: str) -> None:
     files = [str(DEMO / f"{fleet}.yaml"), str(DEMO / f"{fleet}-organisations.yaml")]
     assert main(["check", *files]) == 0
     assert main(["check", files[0], files[0]]) == 1
     assert "given twice" in capsys.readouterr().err
 
 
-def test_numbers_stay_text(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_numeric_arguments_stay_strings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     """Fire would turn a file named 1 into a number."""
     path = tmp_path / "1"
     path.write_text("services: {}")
--- a/src/canvasyoke/cli/tests/test_roles.py
+++ b/src/canvasyoke/cli/tests/test_roles.py
@@ -8,7 +8,7 @@
 import pytest
 
 #: A role whose tasks wait on links of their own while it ends.
-ROLE = """
+ROLE_SCRIPT = """
 import sys, threading
 import pynng
 from canvasyoke.cli._roles import _run
@@ -37,8 +37,12 @@
 
 
 @pytest.mark.parametrize("code", [0, 0, 0, 0, 1])
-def test_a_role_ends_as_it_says_although_its_tasks_still_wait(code: int) -> None:
-    done = subprocess.run(
-        [sys.executable, "-c", ROLE, str(code)], capture_output=True, text=True, check=False
+def test_exit_code_is_kept_while_threads_wait_on_sockets(code: int) -> None:
+    completed = subprocess.run(
+        [sys.executable, "-c", ROLE_SCRIPT, str(code)], capture_output=True, text=True, check=False
+    )
+    assert (completed.returncode, completed.stdout, completed.stderr) == (
+        code,
+        "the last line\n",
+        "",
     )
-    assert (done.returncode, done.stdout, done.stderr) == (code, "the last line\n", "")
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -23,10 +23,10 @@
     EndpointChanges,
     EndpointGone,
     EndpointList,
-    EndpointsSeen,
+    EndpointWatchResult,
     FleetStore,
     HistoryGone,
-    NothingNew,
+    NoChange,
     StorePosition,
     era_of,
     format_position,
@@ -72,7 +72,7 @@
         """Return the number of store entries that cannot be read as a backend."""
         return len(self._unreadable)
 
-    def _fetch(self, position: StorePosition) -> EndpointList | EndpointsSeen:
+    def _fetch(self, position: StorePosition) -> EndpointList | EndpointWatchResult:
         if position:
             return self._store.watch_endpoints(position, self._watch_timeout())
         return self._store.endpoints(self._availability.timeout)
@@ -100,7 +100,7 @@
                     self._position = position = seen.position
                     self._apply_changes(seen)
                     self._pause(PAUSE_AFTER_CHANGES)
-                case NothingNew():
+                case NoChange():
                     self._mark_in_sync()
                     self._pause(PAUSE_AFTER_TIMEOUT)
                 case HistoryGone():
--- a/src/canvasyoke/direct/_entry_notes.py
+++ b/src/canvasyoke/direct/_entry_notes.py
@@ -17,7 +17,7 @@
 from canvasyoke.state import (
     FleetStore,
     Note,
-    NotedAddress,
+    SocketAddress,
     Unusable,
     read_link_key,
     read_note,
@@ -38,7 +38,7 @@
 class _EntryNote(msgspec.Struct, frozen=True):
     """Body of the note of an entry."""
 
-    peer: NotedAddress
+    peer: SocketAddress
     #: Failure domain of the entry; empty in notes of older versions.
     domain: str = ""
 
@@ -86,7 +86,7 @@
             note = self._store.put_note(_KIND, self._own.name, body)
             self._is_registered = isinstance(note, Note)
         # Once linked, a stale list is good enough, and cheaper.
-        notes = self._store.notes(_KIND, may_be_old=is_settled)
+        notes = self._store.notes(_KIND, allow_stale=is_settled)
         if not isinstance(notes, list):
             _log.warning("cannot list entries", cause=notes.detail)
             return None
--- a/src/canvasyoke/direct/_quarantine_notes.py
+++ b/src/canvasyoke/direct/_quarantine_notes.py
@@ -68,7 +68,7 @@
             self._write(unwritten)
 
     def _read(self) -> None:
-        notes = self._store.notes(_KIND, may_be_old=self._has_read)
+        notes = self._store.notes(_KIND, allow_stale=self._has_read)
         if not isinstance(notes, list):
             _log.warning("reading quarantine cases from the store failed", cause=notes.detail)
             return
--- a/src/canvasyoke/direct/_store_follower.py
+++ b/src/canvasyoke/direct/_store_follower.py
@@ -15,7 +15,7 @@
 
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.observe import part_logger
-from canvasyoke.state import CALL_PATIENCE, Unavailable, Unusable
+from canvasyoke.state import CALL_TIMEOUT, Unavailable, Unusable
 
 _log = part_logger("store")
 #: Milliseconds for which a watch waits for changes. Shorter watches make more calls; longer
@@ -33,7 +33,7 @@
 #: bursts, for example when backends start; the pause batches them.
 PAUSE_AFTER_CHANGES: Final = 120
 #: Shortest timeout in milliseconds of a call while the store is lost; the longest is
-#: ``CALL_PATIENCE``. Random timeouts desynchronize the entries, so that one of them detects
+#: ``CALL_TIMEOUT``. Random timeouts desynchronize the entries, so that one of them detects
 #: early that the store is back and informs the others. Calls started during an outage are
 #: never answered.
 _MIN_TIMEOUT: Final = 400
@@ -68,8 +68,8 @@
     def timeout(self) -> int:
         """Timeout of the next call in milliseconds."""
         if not self._lost_at:
-            return CALL_PATIENCE
-        return self._rng.randint(_MIN_TIMEOUT, CALL_PATIENCE)
+            return CALL_TIMEOUT
+        return self._rng.randint(_MIN_TIMEOUT, CALL_TIMEOUT)
 
     def failed(self, cause: Unavailable | Unusable) -> None:
         """Record a call without a usable answer, and wait for the backoff."""
--- a/src/canvasyoke/direct/_table_follower.py
+++ b/src/canvasyoke/direct/_table_follower.py
@@ -18,11 +18,11 @@
 from canvasyoke.state import (
     FleetStore,
     HistoryGone,
-    NothingNew,
+    NoChange,
     RoutingTable,
     StorePosition,
     TableRead,
-    TableSeen,
+    TableWatchResult,
     format_position,
 )
 
@@ -68,7 +68,7 @@
         self._view = view
         self._is_watching = is_watching
 
-    def _look(self, position: StorePosition) -> TableSeen:
+    def _look(self, position: StorePosition) -> TableWatchResult:
         if position:
             return self._store.watch_table(position, WATCH_TIMEOUT)
         return self._store.table(self._availability.timeout)
@@ -88,7 +88,7 @@
                     position = seen.position
                     self._view.adopt(seen.table, seen.document, "store")
                     self._pause(PAUSE_AFTER_CHANGES)
-                case NothingNew() as seen:
+                case NoChange() as seen:
                     self._availability.succeeded()
                     position = position or seen.position
                     self._pause(PAUSE_AFTER_TIMEOUT)
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -89,7 +89,7 @@
         self.other_notes: list[Note] = []
         self.entry_notes = [Note(n, 1, msgspec.json.encode(b)) for n, b in bodies.items()]
 
-    def notes(self, kind: str, may_be_old: bool = False) -> list[Note]:
+    def notes(self, kind: str, allow_stale: bool = False) -> list[Note]:
         return self.entry_notes if kind == "entries" else self.other_notes
 
     def create_note(self, _kind: str, name: str, _body: bytes) -> Note:
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -24,7 +24,7 @@
 
 RANKS = [f"b-{number}" for number in range(6)]
 SLOTS = 5
-GEOMETRY = RankGeometry(layers=2, experts=8, capacity=4, new_limit=1, copy_time=10.0)
+GEOMETRY = RankGeometry(layers=2, experts=8, capacity=4, max_new_experts=1, copy_time=10.0)
 
 
 @pytest.fixture
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -240,7 +240,7 @@
     entry = fleet.entries["front-0-0"]
     asked, released = threading.Event(), threading.Event()
 
-    def notes(_kind: str, may_be_old: bool = False) -> list[Note]:
+    def notes(_kind: str, allow_stale: bool = False) -> list[Note]:
         asked.set()
         released.wait(EVENT_TIMEOUT)
         return []
--- a/src/canvasyoke/entry/_status.py
+++ b/src/canvasyoke/entry/_status.py
@@ -86,7 +86,7 @@
     findings = []
     for name, service in sorted(view.current.services.items()):
         held = sum(t.key_slots for t in targets if t.service == name and t.connected)
-        if service.holds_keys and held < service.model.key_slots:
+        if service.accepts_non_repeatable and held < service.model.key_slots:
             findings.append(
                 f"service {name}: {held} of {service.model.key_slots} key slots are held by "
                 "targets linked here; other keyed requests get not_home; check the platform "
--- a/src/canvasyoke/experts/_note_keeper.py
+++ b/src/canvasyoke/experts/_note_keeper.py
@@ -65,7 +65,7 @@
         if self._note is None:
             return
         name, body = self._note
-        found = self._store.note(self._kind, name, may_be_old=True)
+        found = self._store.note(self._kind, name, allow_stale=True)
         if isinstance(found, Unavailable | Unusable) or found is not None:
             return
         key = read_link_key(self._store, self._key_name, self._link_key)
--- a/src/canvasyoke/experts/_owner.py
+++ b/src/canvasyoke/experts/_owner.py
@@ -230,7 +230,7 @@
     ) -> MapUpdate:
         parameters = MapUpdateParameters(
             capacity=self._geometry.capacity,
-            max_new_experts=self._geometry.new_limit,
+            max_new_experts=self._geometry.max_new_experts,
             copy_time=self._geometry.copy_time,
             overhead=_CHANGE_OVERHEAD,
             horizon=self._demand.expected_duration,
--- a/src/canvasyoke/experts/_owner_link.py
+++ b/src/canvasyoke/experts/_owner_link.py
@@ -18,7 +18,7 @@
 from canvasyoke.experts._standby import STANDBY_RANK
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import Message, RankOrder, RankOrders
-from canvasyoke.state import NotedAddress
+from canvasyoke.state import SocketAddress
 from canvasyoke.transport import LinkClient, Session
 
 _log = part_logger("ranks")
@@ -33,8 +33,8 @@
 class RankNote(msgspec.Struct, frozen=True):
     """Addresses of a rank process and its engine."""
 
-    peer: NotedAddress
-    engine: NotedAddress
+    peer: SocketAddress
+    engine: SocketAddress
     #: Failure domain; empty in notes written by older versions.
     domain: str = ""
 
--- a/src/canvasyoke/experts/tests/test_owner.py
+++ b/src/canvasyoke/experts/tests/test_owner.py
@@ -17,7 +17,7 @@
 from canvasyoke.state import Note, RankGeometry
 
 RANKS, EXPERTS, LAYERS = 4, 8, 2
-GEOMETRY = RankGeometry(LAYERS, EXPERTS, capacity=4, new_limit=1, copy_time=100.0)
+GEOMETRY = RankGeometry(LAYERS, EXPERTS, capacity=4, max_new_experts=1, copy_time=100.0)
 EVEN = [10_000] * (EXPERTS * LAYERS)
 
 
--- a/src/canvasyoke/observe/__init__.py
+++ b/src/canvasyoke/observe/__init__.py
@@ -3,9 +3,9 @@
 from canvasyoke.observe._line_writer import LineWriter
 from canvasyoke.observe._logs import (
     PartLogger,
+    configure_background_logging,
+    configure_logging,
     part_logger,
-    set_up_background_logs,
-    set_up_logs,
 )
 from canvasyoke.observe._metrics import Counter, Gauge, Metrics, Timer
 
@@ -16,7 +16,7 @@
     "Metrics",
     "PartLogger",
     "Timer",
+    "configure_background_logging",
+    "configure_logging",
     "part_logger",
-    "set_up_background_logs",
-    "set_up_logs",
 ]
--- a/src/canvasyoke/observe/_line_writer.py
+++ b/src/canvasyoke/observe/_line_writer.py
@@ -18,7 +18,7 @@
 #: Lines a second that are written in the long run, and the lines that may come at once.
 #: An entry at twice its load of today writes about 30.
 _LINES_PER_SECOND: Final = 200
-_BURST: Final = 1_000
+_MAX_BURST: Final = 1_000
 
 
 class LineWriter:
@@ -27,36 +27,38 @@
     def __init__(self, stream: TextIO, clock: Clock | None = None) -> None:
         self._stream = stream
         self._clock = clock or SystemClock()
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._lines: deque[str] = deque()
         self._writing = False
-        self._tokens = float(_BURST)
-        self._filled_at = self._clock.now()
+        self._tokens = float(_MAX_BURST)
+        self._refilled_at = self._clock.now()
         #: Lines dropped since the last line that said so, and in all.
-        self._unreported = 0
+        self._unreported_drops = 0
         self.dropped = 0
-        self._task = threading.Thread(target=self._run, name="log-writer", daemon=True)
-        self._task.start()
+        self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
+        self._thread.start()
 
     def put(self, line: str, important: bool) -> None:
         """Queue ``line``; an important one is not subject to the rate."""
-        with self._changed:
+        with self._condition:
             allowed = self._take_token() or important
             if not allowed or len(self._lines) >= _QUEUE_LIMIT:
-                self._unreported += 1
+                self._unreported_drops += 1
                 self.dropped += 1
                 return
-            if self._unreported:
-                self._lines.append(f'{{"message":"log lines dropped","count":{self._unreported}}}')
-                self._unreported = 0
+            if self._unreported_drops:
+                self._lines.append(
+                    f'{{"message":"log lines dropped","count":{self._unreported_drops}}}'
+                )
+                self._unreported_drops = 0
             self._lines.append(line)
-            self._changed.notify()
+            self._condition.notify()
 
     def _take_token(self) -> bool:
         now = self._clock.now()
-        earned = (now - self._filled_at) * _LINES_PER_SECOND / SECOND
-        self._tokens = min(float(_BURST), self._tokens + earned)
-        self._filled_at = now
+        refill = (now - self._refilled_at) * _LINES_PER_SECOND / SECOND
+        self._tokens = min(float(_MAX_BURST), self._tokens + refill)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -64,18 +66,18 @@
 
     def flush(self, timeout: int) -> bool:
         """Wait up to ``timeout`` milliseconds until all lines are written."""
-        with self._changed:
-            return self._changed.wait_for(
+        with self._condition:
+            return self._condition.wait_for(
                 lambda: not self._lines and not self._writing, timeout / SECOND
             )
 
     def _run(self) -> None:
         while True:
-            with self._changed:
+            with self._condition:
                 self._writing = False
-                self._changed.notify_all()
+                self._condition.notify_all()
                 while not self._lines:
-                    self._changed.wait()
+                    self._condition.wait()
                 lines = list(self._lines)
                 self._lines.clear()
                 self._writing = True
@@ -84,5 +86,5 @@
                 self._stream.flush()
             except (OSError, ValueError):
                 # Nobody reads the stream any more; there is nowhere left to say so.
-                with self._changed:
+                with self._condition:
                     self.dropped += len(lines)
--- a/src/canvasyoke/observe/_logs.py
+++ b/src/canvasyoke/observe/_logs.py
@@ -76,11 +76,11 @@
     def _format_text(self, record: Any) -> str:
         fields = "".join(f" {name}={value}" for name, value in record.extra.items())
         level = record.level_name
-        return f"{_time(record)} {level} {record.channel}: {record.message}{fields}"
+        return f"{_format_time(record)} {level} {record.channel}: {record.message}{fields}"
 
     def _format_json(self, record: Any) -> str:
         line = {
-            "time": _time(record),
+            "time": _format_time(record),
             "level": record.level_name.lower(),
             "part": record.channel,
             "instance": self._instance,
@@ -90,12 +90,12 @@
         return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-def _time(record: Any) -> str:
-    moment: datetime.datetime = record.time
-    return moment.isoformat(timespec="milliseconds").replace("+00:00", "") + "Z"
+def _format_time(record: Any) -> str:
+    timestamp: datetime.datetime = record.time
+    return timestamp.isoformat(timespec="milliseconds").replace("+00:00", "") + "Z"
 
 
-def set_up_logs(settings: LogSettings, instance: str, stream: TextIO = sys.stderr) -> None:
+def configure_logging(settings: LogSettings, instance: str, stream: TextIO = sys.stderr) -> None:
     """Send the logs of this process to ``stream`` as ``settings`` say."""
     lock = threading.Lock()
 
@@ -104,16 +104,20 @@
             stream.write(line + "\n")
             stream.flush()
 
-    _push(put, settings, instance)
+    _install_handler(put, settings, instance)
 
 
-def set_up_background_logs(settings: LogSettings, instance: str, stream: TextIO) -> LineWriter:
+def configure_background_logging(
+    settings: LogSettings, instance: str, stream: TextIO
+) -> LineWriter:
     """Send the logs of this process to ``stream`` without ever waiting for its reader."""
     writer = LineWriter(stream)
-    _push(writer.put, settings, instance)
+    _install_handler(writer.put, settings, instance)
     return writer
 
 
-def _push(put: Callable[[str, bool], None], settings: LogSettings, instance: str) -> None:
+def _install_handler(
+    put: Callable[[str, bool], None], settings: LogSettings, instance: str
+) -> None:
     handler = _LineHandler(put, settings.format == "json", _LEVELS[settings.level], instance)
     handler.push_application()
--- a/src/canvasyoke/observe/_metrics.py
+++ b/src/canvasyoke/observe/_metrics.py
@@ -12,13 +12,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST: Final = 10
-_HIGHEST: Final = 600_000_000
-_DIGITS: Final = 2
+_MIN_MICROSECONDS: Final = 10
+_MAX_MICROSECONDS: Final = 600_000_000
+_SIGNIFICANT_DIGITS: Final = 2
 _QUANTILES: Final = (0.5, 0.95, 0.99, 0.999)
-_MICROSECONDS: Final = 1_000
+_MICROSECONDS_PER_MILLISECOND: Final = 1_000
 #: Series of one metric at the most; further label values are counted as ``other``.
-_SERIES_LIMIT: Final = 500
+_MAX_SERIES: Final = 500
 
 
 class Counter:
@@ -34,7 +34,7 @@
     def add(self, label_value: str = "", amount: int = 1) -> None:
         """Count ``amount``."""
         with self._lock:
-            if label_value not in self._values and len(self._values) >= _SERIES_LIMIT:
+            if label_value not in self._values and len(self._values) >= _MAX_SERIES:
                 label_value = "other"
             self._values[label_value] = self._values.get(label_value, 0) + amount
 
@@ -75,12 +75,15 @@
         self.name = name
         self._help = help_text
         self._lock = threading.Lock()
-        self._histogram = HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
+        self._histogram = HdrHistogram(_MIN_MICROSECONDS, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
         self._sum = 0.0
 
     def record(self, duration: float) -> None:
         """Add one duration in milliseconds."""
-        value = min(_HIGHEST, max(_LOWEST, round(duration * _MICROSECONDS)))
+        value = min(
+            _MAX_MICROSECONDS,
+            max(_MIN_MICROSECONDS, round(duration * _MICROSECONDS_PER_MILLISECOND)),
+        )
         with self._lock:
             self._histogram.record_value(value)
             self._sum += duration
@@ -89,7 +92,7 @@
         """Return the duration in milliseconds under which ``fraction`` of all lie."""
         with self._lock:
             value = self._histogram.get_value_at_percentile(fraction * 100)
-        return float(value) / _MICROSECONDS
+        return float(value) / _MICROSECONDS_PER_MILLISECOND
 
     @property
     def count(self) -> int:
@@ -111,29 +114,29 @@
     """All metrics of one process."""
 
     def __init__(self) -> None:
-        self._all: list[Counter | Gauge | Timer] = []
+        self._metrics: list[Counter | Gauge | Timer] = []
 
     def counter(self, name: str, help_text: str, label: str = "") -> Counter:
         """Add a counter."""
         counter = Counter(name, help_text, label)
-        self._all.append(counter)
+        self._metrics.append(counter)
         return counter
 
     def gauge(self, name: str, help_text: str, read: Callable[[], float]) -> Gauge:
         """Add a gauge."""
         gauge = Gauge(name, help_text, read)
-        self._all.append(gauge)
+        self._metrics.append(gauge)
         return gauge
 
     def timer(self, name: str, help_text: str) -> Timer:
         """Add a timer."""
         timer = Timer(name, help_text)
-        self._all.append(timer)
+        self._metrics.append(timer)
         return timer
 
     def render(self) -> str:
         """Return all metrics as text."""
-        return "\n".join(line for metric in self._all for line in metric.render()) + "\n"
+        return "\n".join(line for metric in self._metrics for line in metric.render()) + "\n"
 
 
 def _escape(value: str) -> str:
--- a/src/canvasyoke/observe/tests/test_observe.py
+++ b/src/canvasyoke/observe/tests/test_observe.py
@@ -7,7 +7,7 @@
 import pytest
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.observe import LineWriter, Metrics, part_logger, set_up_logs
+from canvasyoke.observe import LineWriter, Metrics, configure_logging, part_logger
 from canvasyoke.state import LogSettings
 
 
@@ -17,8 +17,8 @@
     logbook.Handler.stack_manager.pop_application()
 
 
-def test_text_lines_have_a_fixed_prefix(stream: io.StringIO) -> None:
-    set_up_logs(LogSettings(), "e-1", stream)
+def test_text_format(stream: io.StringIO) -> None:
+    configure_logging(LogSettings(), "e-1", stream)
     log = part_logger("link")
     log.info("peer is up", peer="ink-1")
     log.debug("not at this level")
@@ -26,15 +26,15 @@
     assert line.endswith("INFO link: peer is up peer=ink-1")
 
 
-def test_json_lines_can_be_read_back(stream: io.StringIO) -> None:
-    set_up_logs(LogSettings(format="json", level="debug"), "e-1", stream)
+def test_json_format(stream: io.StringIO) -> None:
+    configure_logging(LogSettings(format="json", level="debug"), "e-1", stream)
     part_logger("desk").debug("refused", request_id="r-1", why=ValueError("x"))
     line = json.loads(stream.getvalue())
     assert line["part"] == "desk"
     assert (line["instance"], line["request_id"], line["why"]) == ("e-1", "r-1", "x")
 
 
-def test_metrics_are_rendered_as_text() -> None:
+def test_metrics_text_format() -> None:
     metrics = Metrics()
     counter = metrics.counter("c_total", "Counts.", "kind")
     timer = metrics.timer("t_seconds", "Times.")
@@ -50,32 +50,32 @@
     assert timer.quantile(0.99) == pytest.approx(99, rel=0.02)
 
 
-def test_label_values_are_bounded() -> None:
+def test_excess_label_values_are_counted_as_other() -> None:
     counter = Metrics().counter("c_total", "Counts.", "kind")
     for number in range(1_000):
         counter.add(str(number))
     assert counter.value("other") == 500
 
 
-class _StuckStream(io.StringIO):
+class _BlockedStream(io.StringIO):
     """A stream whose reader takes nothing until it is let go."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.let_go = threading.Event()
+        self.released = threading.Event()
 
     def write(self, text: str) -> int:
-        self.let_go.wait()
+        self.released.wait()
         return super().write(text)
 
 
-def test_logging_never_waits_for_the_reader() -> None:
-    stream = _StuckStream()
+def test_put_does_not_block_on_a_stalled_reader() -> None:
+    stream = _BlockedStream()
     writer = LineWriter(stream)
     for number in range(30_000):
         writer.put(f"line {number}", important=True)
     assert writer.dropped > 0
-    stream.let_go.set()
+    stream.released.set()
     assert writer.flush(20_000)
     writer.put("after", important=True)
     assert writer.flush(20_000)
@@ -87,7 +87,7 @@
     assert len(lines) - len(counts) + writer.dropped == 30_001
 
 
-def test_the_volume_of_lines_is_bounded() -> None:
+def test_line_rate_is_limited() -> None:
     clock = ManualClock()
     stream = io.StringIO()
     writer = LineWriter(stream, clock)
--- a/src/canvasyoke/platform/_config.py
+++ b/src/canvasyoke/platform/_config.py
@@ -153,7 +153,7 @@
         layers=engine.sets,
         experts=engine.experts,
         capacity=engine.places,
-        new_limit=engine.spare,
+        max_new_experts=engine.spare,
         copy_time=megabits / engine.link_mbps * _SECOND if engine.link_mbps else 0.0,
     )
 
--- a/src/canvasyoke/platform/_store.py
+++ b/src/canvasyoke/platform/_store.py
@@ -25,18 +25,18 @@
 )
 from canvasyoke.platform._json_parts import list_parts, object_parts
 from canvasyoke.state import (
-    CALL_PATIENCE,
+    CALL_TIMEOUT,
     FLEET_STORES,
     EndpointList,
-    EndpointsSeen,
+    EndpointWatchResult,
     FleetStore,
     HistoryGone,
+    NoChange,
     Note,
-    NothingNew,
     RoutingTable,
     StorePosition,
     TableRead,
-    TableSeen,
+    TableWatchResult,
     Unavailable,
     Unusable,
     era_of,
@@ -101,15 +101,15 @@
             host, int(port), maxsize=_CONNECTIONS, retries=False
         )
 
-    def endpoints(self, patience: int = CALL_PATIENCE) -> EndpointList | Unavailable | Unusable:
+    def endpoints(self, timeout: int = CALL_TIMEOUT) -> EndpointList | Unavailable | Unusable:
         """Return every endpoint."""
-        listed = self._list(_ENDPOINTS, patience=patience)
+        listed = self._list(_ENDPOINTS, timeout=timeout)
         if isinstance(listed, Unavailable | Unusable):
             return listed
         items, position = listed
         return read_list(items, position)
 
-    def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointsSeen:
+    def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointWatchResult:
         """Wait for changes of backends."""
         seen = self._watch(_ENDPOINTS, after, wait)
         if not isinstance(seen, _Events):
@@ -118,15 +118,15 @@
         events = [bytes(event) for event in seen.items]
         return read_changes(events, store_position(era, seen.revision), era)
 
-    def table(self, patience: int = CALL_PATIENCE) -> TableSeen:
+    def table(self, timeout: int = CALL_TIMEOUT) -> TableWatchResult:
         """Return the configuration in the store."""
-        listed = self._list(_CONFIG, patience=patience)
+        listed = self._list(_CONFIG, timeout=timeout)
         if isinstance(listed, Unavailable | Unusable):
             return listed
         items, position = listed
         return _table_in([read_object(item) for item in items], position)
 
-    def watch_table(self, after: StorePosition, wait: int) -> TableSeen:
+    def watch_table(self, after: StorePosition, wait: int) -> TableWatchResult:
         """Wait for another configuration."""
         seen = self._watch(_CONFIG, after, wait)
         if not isinstance(seen, _Events):
@@ -142,9 +142,9 @@
         """Return the table in ``document``."""
         return decode_table(document)
 
-    def notes(self, kind: str, may_be_old: bool = False) -> list[Note] | Unavailable | Unusable:
+    def notes(self, kind: str, allow_stale: bool = False) -> list[Note] | Unavailable | Unusable:
         """Return the system's own objects of ``kind``."""
-        listed = self._list(kind, may_be_old)
+        listed = self._list(kind, allow_stale)
         if isinstance(listed, Unavailable | Unusable):
             return listed
         items, position = listed
@@ -152,10 +152,10 @@
         return [note for note in read if note is not None]
 
     def note(
-        self, kind: str, name: str, may_be_old: bool = False
+        self, kind: str, name: str, allow_stale: bool = False
     ) -> Note | Unavailable | Unusable | None:
         """Return one object of the system's own; ``None`` where there is none."""
-        path = f"/objects/{kind}/{quote(name, safe='')}{'?stale=1' if may_be_old else ''}"
+        path = f"/objects/{kind}/{quote(name, safe='')}{'?stale=1' if allow_stale else ''}"
         answer = self._call("GET", path)
         if isinstance(answer, Unavailable):
             return answer
@@ -190,7 +190,7 @@
         return _decode_note(answer)
 
     def _list(
-        self, kind: str, may_be_old: bool = False, patience: int = CALL_PATIENCE
+        self, kind: str, allow_stale: bool = False, timeout: int = CALL_TIMEOUT
     ) -> tuple[list[bytes], StorePosition] | Unavailable | Unusable:
         """Return all objects of ``kind``, each as it was written, and the first page's position.
 
@@ -200,10 +200,10 @@
         position: StorePosition = 0
         after = ""
         while True:
-            query = {"stale": "1"} if may_be_old else {}
+            query = {"stale": "1"} if allow_stale else {}
             if after:
                 query["After"] = after
-            answer = self._call("GET", f"/objects/{kind}?{urlencode(query)}", timeout=patience)
+            answer = self._call("GET", f"/objects/{kind}?{urlencode(query)}", timeout=timeout)
             if isinstance(answer, Unavailable):
                 return answer
             era = _era(answer)
@@ -228,7 +228,7 @@
 
     def _watch(
         self, kind: str, after: StorePosition, wait: int
-    ) -> _Events | NothingNew | HistoryGone | Unavailable | Unusable:
+    ) -> _Events | NoChange | HistoryGone | Unavailable | Unusable:
         path = f"/objects/{kind}?watch={revision_of(after)}&WaitMs={wait}"
         answer = self._call("GET", path, timeout=wait + _WATCH_GRACE)
         if isinstance(answer, Unavailable):
@@ -244,10 +244,10 @@
             return Unusable(f"a watch of {kind} cannot be read: {seen.detail}")
         if seen.items:
             return seen
-        return NothingNew(store_position(era_of(after), seen.revision))
+        return NoChange(store_position(era_of(after), seen.revision))
 
     def _call(
-        self, method: str, path: str, body: bytes | None = None, timeout: int = CALL_PATIENCE
+        self, method: str, path: str, body: bytes | None = None, timeout: int = CALL_TIMEOUT
     ) -> urllib3.BaseHTTPResponse | Unavailable:
         connect = min(_CONNECT_TIMEOUT, timeout)
         limits = urllib3.Timeout(connect=connect / SECOND, read=timeout / SECOND)
@@ -289,9 +289,9 @@
 
 def _table_in(
     objects: Iterable[StoredObject | UnreadableObject | Unusable], position: StorePosition
-) -> TableSeen:
+) -> TableWatchResult:
     """Return the newest configuration among ``objects``."""
-    found: TableSeen = NothingNew(position)
+    found: TableWatchResult = NoChange(position)
     for item in objects:
         match item:
             case StoredObject(meta, spec) if meta.name == _CONFIG_NAME:
--- a/src/canvasyoke/platform/tests/test_store_eras.py
+++ b/src/canvasyoke/platform/tests/test_store_eras.py
@@ -13,8 +13,8 @@
     EndpointChanges,
     EndpointList,
     HistoryGone,
+    NoChange,
     Note,
-    NothingNew,
     TableRead,
     Unavailable,
     era_of,
@@ -112,7 +112,7 @@
     store.return_from(store.copy())
     position = listed(client).position
     nothing = client.watch_endpoints(position, 1)
-    assert nothing == NothingNew(position)
+    assert nothing == NoChange(position)
     store.put("servers", "b-9", spec(9))
     store.remove("servers", "b-1")
     seen = client.watch_endpoints(position, 10)
--- a/src/canvasyoke/state/__init__.py
+++ b/src/canvasyoke/state/__init__.py
@@ -13,26 +13,26 @@
 )
 from canvasyoke.state._document import Document, Fault, parse_document
 from canvasyoke.state._fleet_store import (
-    CALL_PATIENCE,
+    CALL_TIMEOUT,
     FLEET_STORES,
     Endpoint,
     EndpointChanges,
     EndpointGone,
     EndpointList,
-    EndpointsSeen,
     EndpointState,
+    EndpointWatchResult,
     FleetStore,
     HistoryGone,
+    NoChange,
     Note,
-    NothingNew,
     TableRead,
-    TableSeen,
+    TableWatchResult,
     Unusable,
 )
 from canvasyoke.state._keeper import ConfigKeeper, ConfigView, Snapshot
 from canvasyoke.state._link_key import read_link_key
 from canvasyoke.state._models import FileModel
-from canvasyoke.state._notes import NotedAddress, read_note
+from canvasyoke.state._notes import SocketAddress, read_note
 from canvasyoke.state._platform import (
     CREATE,
     PLATFORMS,
@@ -92,7 +92,7 @@
 from canvasyoke.state._validate import check_file, validate
 
 __all__ = [
-    "CALL_PATIENCE",
+    "CALL_TIMEOUT",
     "CREATE",
     "DEFAULT_LIMITS",
     "FLEET_STORES",
@@ -116,7 +116,7 @@
     "EndpointGone",
     "EndpointList",
     "EndpointState",
-    "EndpointsSeen",
+    "EndpointWatchResult",
     "Engine",
     "EntrySettings",
     "Fault",
@@ -130,9 +130,8 @@
     "Instance",
     "InstanceState",
     "LogSettings",
+    "NoChange",
     "Note",
-    "NotedAddress",
-    "NothingNew",
     "Organisation",
     "Platform",
     "PlatformSettings",
@@ -147,14 +146,15 @@
     "Service",
     "ServiceShare",
     "Snapshot",
+    "SocketAddress",
     "StorePosition",
     "Submission",
     "SubmitResult",
     "TableOrganisation",
     "TableRead",
     "TableRoute",
-    "TableSeen",
     "TableService",
+    "TableWatchResult",
     "TargetSettings",
     "Unavailable",
     "Unchanged",
--- a/src/canvasyoke/state/_audit.py
+++ b/src/canvasyoke/state/_audit.py
@@ -17,8 +17,8 @@
 #: Entries kept.
 AUDIT_LIMIT: Final = 2_000
 #: Entries over the limit before the oldest are removed, so that not every append lists.
-_SLACK: Final = 100
-_TRIES: Final = 4
+_TRIM_INTERVAL: Final = 100
+_MAX_WRITE_ATTEMPTS: Final = 4
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -63,10 +63,10 @@
         data = msgspec.json.encode(entry)
         written = any(
             not isinstance(self._platform.write(key, data, CREATE), Unavailable)
-            for _ in range(_TRIES)
+            for _ in range(_MAX_WRITE_ATTEMPTS)
         )
         self._appended += 1
-        if self._appended % _SLACK == 1:
+        if self._appended % _TRIM_INTERVAL == 1:
             self._trim()
         return written
 
@@ -77,7 +77,7 @@
             return keys
         entries = []
         for key in keys:
-            if _key_wall(key) < since:
+            if _wall_time_of_key(key) < since:
                 continue
             found = self._platform.read(key)
             if isinstance(found, Unavailable):
@@ -94,6 +94,6 @@
             self._platform.delete(key)
 
 
-def _key_wall(key: str) -> int:
+def _wall_time_of_key(key: str) -> int:
     digits = key.removeprefix(_PREFIX).split("-", 1)[0]
     return int(digits) if digits.isdigit() else 0
--- a/src/canvasyoke/state/_config.py
+++ b/src/canvasyoke/state/_config.py
@@ -43,7 +43,7 @@
         return Route(method in _SAFE_METHODS, self.model.deadline_ms)
 
     @property
-    def holds_keys(self) -> bool:
+    def accepts_non_repeatable(self) -> bool:
         """Tell whether some of its requests must not run twice."""
         return self.model.kind == "plain" or any(not r.repeatable for r in self.model.routes)
 
@@ -135,7 +135,7 @@
         self.organisations: dict[str, OrganisationModel] = {}
         self.placement: dict[str, PlacementModel] = {}
         self.faults: list[ReferenceFault] = []
-        self._home: dict[tuple[str, str], str] = {}
+        self._defining_files: dict[tuple[str, str], str] = {}
         for file, model in sorted(files.items()):
             self._merge(file, "services", self.services, model.services)
             self._merge(file, "engines", self.engines, model.engines)
@@ -143,17 +143,17 @@
             self._merge(file, "placement", self.placement, model.placement)
 
     def _merge(
-        self, file: str, section: str, into: dict[str, _ModelT], values: Mapping[str, _ModelT]
+        self, file: str, section: str, merged: dict[str, _ModelT], values: Mapping[str, _ModelT]
     ) -> None:
         for name, value in values.items():
-            other = self._home.setdefault((section, name), file)
-            if other != file:
-                expected = f"stands in {other} already"
+            first = self._defining_files.setdefault((section, name), file)
+            if first != file:
+                expected = f"stands in {first} already"
                 self.faults.append(ReferenceFault(file, (section, name), expected))
-            into[name] = value
+            merged[name] = value
 
-    def _fault(self, section: str, name: str, field_name: str, expected: str) -> None:
-        file = self._home[(section, name)]
+    def _add_fault(self, section: str, name: str, field_name: str, expected: str) -> None:
+        file = self._defining_files[(section, name)]
         path = (section, name, field_name) if field_name else (section, name)
         self.faults.append(ReferenceFault(file, path, expected))
 
@@ -166,30 +166,30 @@
     def _check_engines(self) -> None:
         for name, engine in self.engines.items():
             if engine.service not in self.services:
-                self._fault("engines", name, "service", f"no service {engine.service!r}")
+                self._add_fault("engines", name, "service", f"no service {engine.service!r}")
             if engine.group and engine.group not in self.placement:
-                self._fault("engines", name, "group", f"no group {engine.group!r} in placement")
+                self._add_fault("engines", name, "group", f"no group {engine.group!r} in placement")
 
     def _check_organisations(self) -> None:
-        seen: dict[str, str] = {}
+        first_by_token: dict[str, str] = {}
         for name, organisation in self.organisations.items():
             for service in organisation.services:
                 if service not in self.services:
-                    self._fault("organisations", name, "services", f"no service {service!r}")
-            other = seen.setdefault(organisation.token_sha256, name)
-            if other != name:
-                self._fault("organisations", name, "token_sha256", f"is also that of {other!r}")
+                    self._add_fault("organisations", name, "services", f"no service {service!r}")
+            first = first_by_token.setdefault(organisation.token_sha256, name)
+            if first != name:
+                self._add_fault("organisations", name, "token_sha256", f"is also that of {first!r}")
 
     def _check_placement(self) -> None:
         for name, group in self.placement.items():
             if group.service not in self.services:
-                self._fault("placement", name, "service", f"no service {group.service!r}")
+                self._add_fault("placement", name, "service", f"no service {group.service!r}")
             members = {n: e for n, e in self.engines.items() if e.group == name}
             if sorted(e.rank for e in members.values()) != list(range(group.ranks)):
                 expected = f"needs one engine for each rank from 0 to {group.ranks - 1}"
-                self._fault("placement", name, "ranks", expected)
+                self._add_fault("placement", name, "ranks", expected)
             if any(e.service != group.service for e in members.values()):
-                self._fault("placement", name, "service", "has engines of another service")
+                self._add_fault("placement", name, "service", "has engines of another service")
             if group.ranks * group.capacity < group.experts:
                 expected = f"{group.ranks} ranks of {group.capacity} cannot hold all experts"
-                self._fault("placement", name, "capacity", expected)
+                self._add_fault("placement", name, "capacity", expected)
--- a/src/canvasyoke/state/_document.py
+++ b/src/canvasyoke/state/_document.py
@@ -41,10 +41,10 @@
 
     def fault(self, path: Path, expected: str) -> Fault:
         """Return a fault at ``path``, with the line of the nearest value that exists."""
-        near = path
-        while near and near not in self.lines:
-            near = near[:-1]
-        return Fault(self.file, self.lines.get(near, 1), format_path(path), expected)
+        nearest = path
+        while nearest and nearest not in self.lines:
+            nearest = nearest[:-1]
+        return Fault(self.file, self.lines.get(nearest, 1), format_path(path), expected)
 
 
 def format_path(path: Path) -> str:
@@ -64,19 +64,19 @@
         return [Fault(file, line, "", f"not YAML: {exc.problem}")]
     except yaml.YAMLError as exc:
         return [Fault(file, 1, "", f"not YAML: {exc}")]
-    builder = _Builder(file)
+    builder = _DocumentBuilder(file)
     value = {} if node is None else builder.build(node, ())
     return builder.faults or Document(file, value, builder.lines)
 
 
-class _Builder:
+class _DocumentBuilder:
     """Turns nodes into values, noting lines and keys that stand twice."""
 
     def __init__(self, file: str) -> None:
         self.lines: dict[Path, int] = {}
         self.faults: list[Fault] = []
         self._file = file
-        self._scalars = yaml.SafeLoader("")
+        self._scalar_loader = yaml.SafeLoader("")
 
     def build(self, node: yaml.Node, path: Path) -> Any:
         """Return the value of ``node``."""
@@ -85,7 +85,7 @@
             return self._build_mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
             return [self.build(item, (*path, index)) for index, item in enumerate(node.value)]
-        return self._scalars.construct_object(node)
+        return self._scalar_loader.construct_object(node)
 
     def _build_mapping(self, node: yaml.MappingNode, path: Path) -> dict[str, Any]:
         values: dict[str, Any] = {}
--- a/src/canvasyoke/state/_fleet_store.py
+++ b/src/canvasyoke/state/_fleet_store.py
@@ -21,7 +21,7 @@
 
 #: Milliseconds within which an answer that does not wait for anything is expected. The
 #: store answers in 4 ms, and in fifty times that when it is slow.
-CALL_PATIENCE: Final = 2 * SECOND
+CALL_TIMEOUT: Final = 2 * SECOND
 
 
 class EndpointState(enum.Enum):
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NothingNew:
+class NoChange:
     """A watch ended without a change."""
 
     position: StorePosition
@@ -122,8 +122,8 @@
     detail: str
 
 
-EndpointsSeen: TypeAlias = EndpointChanges | NothingNew | HistoryGone | Unavailable | Unusable
-TableSeen: TypeAlias = TableRead | NothingNew | HistoryGone | Unavailable | Unusable
+EndpointWatchResult: TypeAlias = EndpointChanges | NoChange | HistoryGone | Unavailable | Unusable
+TableWatchResult: TypeAlias = TableRead | NoChange | HistoryGone | Unavailable | Unusable
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,22 +139,22 @@
     """What entries and rank processes ask of the platform's store."""
 
     @abstractmethod
-    def endpoints(self, patience: int = CALL_PATIENCE) -> EndpointList | Unavailable | Unusable:
-        """Return every backend; wait up to ``patience`` milliseconds for each answer."""
+    def endpoints(self, timeout: int = CALL_TIMEOUT) -> EndpointList | Unavailable | Unusable:
+        """Return every backend; wait up to ``timeout`` milliseconds for each answer."""
 
     @abstractmethod
-    def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointsSeen:
+    def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointWatchResult:
         """Wait up to ``wait`` milliseconds for changes after position ``after``."""
 
     @abstractmethod
-    def table(self, patience: int = CALL_PATIENCE) -> TableSeen:
-        """Return the configuration; ``NothingNew`` when the store holds none yet.
+    def table(self, timeout: int = CALL_TIMEOUT) -> TableWatchResult:
+        """Return the configuration; ``NoChange`` when the store holds none yet.
 
-        Waits up to ``patience`` milliseconds for each answer.
+        Waits up to ``timeout`` milliseconds for each answer.
         """
 
     @abstractmethod
-    def watch_table(self, after: StorePosition, wait: int) -> TableSeen:
+    def watch_table(self, after: StorePosition, wait: int) -> TableWatchResult:
         """Wait up to ``wait`` milliseconds for a configuration after position ``after``."""
 
     @abstractmethod
@@ -162,7 +162,7 @@
         """Return the table that a document passed on by another process holds."""
 
     @abstractmethod
-    def notes(self, kind: str, may_be_old: bool = False) -> list[Note] | Unavailable | Unusable:
+    def notes(self, kind: str, allow_stale: bool = False) -> list[Note] | Unavailable | Unusable:
         """Return the system's own objects of ``kind``.
 
         A list that may be seconds old is cheaper for the store.
@@ -170,7 +170,7 @@
 
     @abstractmethod
     def note(
-        self, kind: str, name: str, may_be_old: bool = False
+        self, kind: str, name: str, allow_stale: bool = False
     ) -> Note | Unavailable | Unusable | None:
         """Return one object of the system's own; ``None`` where there is none.
 
@@ -187,7 +187,7 @@
 
 
 #: Makes a store client for ``IP:PORT``.
-MakeFleetStore: TypeAlias = Callable[[str], FleetStore]
+FleetStoreFactory: TypeAlias = Callable[[str], FleetStore]
 
 #: Store adapters by name.
-FLEET_STORES: Registry[MakeFleetStore] = Registry("fleet store")
+FLEET_STORES: Registry[FleetStoreFactory] = Registry("fleet store")
--- a/src/canvasyoke/state/_notes.py
+++ b/src/canvasyoke/state/_notes.py
@@ -12,7 +12,7 @@
 from canvasyoke.state._fleet_store import Note, Unusable
 
 #: Where a process or an engine listens, as ``IP:PORT``.
-NotedAddress: TypeAlias = Annotated[
+SocketAddress: TypeAlias = Annotated[
     str, msgspec.Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")
 ]
 NoteT = TypeVar("NoteT")
--- a/src/canvasyoke/state/_platform_http.py
+++ b/src/canvasyoke/state/_platform_http.py
@@ -59,7 +59,7 @@
             return response
         if response.status == _NOT_FOUND:
             return Absent(key)
-        return _found(key, response)
+        return _to_found(key, response)
 
     def write(self, key: str, value: bytes, expected: int) -> WriteResult:
         """Write if the version is ``expected``."""
@@ -67,7 +67,7 @@
         response = self._call("PUT", _object_path(key), body=value, headers=headers)
         if isinstance(response, Unavailable):
             return response
-        version = _version(response)
+        version = _parse_version(response)
         if response.status == _CONFLICT:
             return Conflict(version)
         if response.status == _OK:
@@ -93,7 +93,7 @@
             return response
         if response.status in (_NO_CONTENT, _NOT_FOUND):
             return Unchanged()
-        return _found(key, response)
+        return _to_found(key, response)
 
     def instances(self) -> list[Instance] | Unavailable:
         """Return the instance list."""
@@ -143,14 +143,14 @@
     return f"/objects/{quote(key)}"
 
 
-def _version(response: urllib3.BaseHTTPResponse) -> int:
+def _parse_version(response: urllib3.BaseHTTPResponse) -> int:
     try:
         return int(response.headers.get(_VERSION_HEADER, ""))
     except ValueError:
         return 0
 
 
-def _found(key: str, response: urllib3.BaseHTTPResponse) -> Found | Unavailable:
+def _to_found(key: str, response: urllib3.BaseHTTPResponse) -> Found | Unavailable:
     if response.status != _OK:
         return Unavailable(f"status {response.status}")
-    return Found(key, _version(response), response.data)
+    return Found(key, _parse_version(response), response.data)
--- a/src/canvasyoke/state/_routing_table.py
+++ b/src/canvasyoke/state/_routing_table.py
@@ -75,7 +75,7 @@
     #: Experts that a rank holds in a layer at the most.
     capacity: int
     #: Experts new to a rank in a layer that one change may bring.
-    new_limit: int
+    max_new_experts: int
     #: Milliseconds that a rank needs to copy one expert.
     copy_time: float
 
--- a/src/canvasyoke/state/_settings.py
+++ b/src/canvasyoke/state/_settings.py
@@ -129,16 +129,16 @@
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._last_signature = self._read_signature()
 
     def has_changed(self) -> bool:
         """Tell whether the file differs from what it was at the last call."""
-        stamp = self._stamp()
-        changed = stamp is not None and stamp != self._seen
-        self._seen = stamp or self._seen
+        signature = self._read_signature()
+        changed = signature is not None and signature != self._last_signature
+        self._last_signature = signature or self._last_signature
         return changed
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _read_signature(self) -> tuple[int, int, int] | None:
         """Return what changes with each write; ``None`` while there is no file."""
         try:
             stat = os.stat(self._path)
--- a/src/canvasyoke/state/_submission.py
+++ b/src/canvasyoke/state/_submission.py
@@ -36,9 +36,9 @@
 #: Key of the root object.
 ROOT_KEY: Final = "config/root"
 _CONTENT_PREFIX: Final = "config/content/"
-_HISTORY: Final = 64
-_PAUSE_START: Final = 50
-_PAUSE_LIMIT: Final = 1 * SECOND
+_MAX_HISTORY: Final = 64
+_INITIAL_BACKOFF: Final = 50
+_MAX_BACKOFF: Final = 1 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,10 +115,12 @@
     rng: random.Random | None = None,
 ) -> SubmitResult:
     """Put ``submission`` in force, or say why it is not."""
-    return _Attempt(platform, submission, clock, timeout, sleep, rng or random.Random()).run()
+    return _SubmitOperation(
+        platform, submission, clock, timeout, sleep, rng or random.Random()
+    ).run()
 
 
-class _Attempt:
+class _SubmitOperation:
     """One call of :func:`submit`."""
 
     def __init__(
@@ -133,25 +135,25 @@
         self._platform = platform
         self._submission = submission
         self._clock = clock
-        self._end = clock.now() + timeout
+        self._deadline = clock.now() + timeout
         self._sleep = sleep
         self._rng = rng
-        self._pause = _PAUSE_START
-        self._detail = ""
+        self._backoff = _INITIAL_BACKOFF
+        self._last_error = ""
 
     def run(self) -> SubmitResult:
-        while self._clock.now() < self._end:
+        while self._clock.now() < self._deadline:
             result = self._try_once()
             if isinstance(result, Unavailable):
-                self._detail = result.detail
-                self._wait()
+                self._last_error = result.detail
+                self._back_off()
                 continue
             return result
-        return Ambiguous(f"the platform gave no answer in time: {self._detail}")
+        return Ambiguous(f"the platform gave no answer in time: {self._last_error}")
 
-    def _wait(self) -> None:
-        self._sleep(self._pause * self._rng.uniform(0.5, 1.5) / SECOND)
-        self._pause = min(self._pause * 2, _PAUSE_LIMIT)
+    def _back_off(self) -> None:
+        self._sleep(self._backoff * self._rng.uniform(0.5, 1.5) / SECOND)
+        self._backoff = min(self._backoff * 2, _MAX_BACKOFF)
 
     def _try_once(self) -> SubmitResult | Unavailable:
         """Read the root, then write; a lost answer is settled by the next reading."""
@@ -166,7 +168,7 @@
         if root.generation != self._submission.base:
             return self._reject_conflict(root)
         snapshot = self._merge(root)
-        if not isinstance(snapshot, _Merged):
+        if not isinstance(snapshot, _MergedConfig):
             return snapshot
         unavailable = self._write_contents(snapshot.contents)
         if unavailable is not None:
@@ -178,7 +180,7 @@
         detail = f"written against generation {base}, but {root.generation} is in force"
         return Rejected(detail, root.generation, tuple(root.since(base)))
 
-    def _merge(self, root: Root) -> _Merged | Rejected | Unavailable:
+    def _merge(self, root: Root) -> _MergedConfig | Rejected | Unavailable:
         """Return the root and files that would be in force, checked as a whole."""
         models: dict[str, FileModel] = {}
         for name, digest in root.files.items():
@@ -198,9 +200,9 @@
             return Rejected(detail, root.generation, faults=tuple(built))
         return self._encode(root, models)
 
-    def _encode(self, root: Root, models: Mapping[str, FileModel]) -> _Merged:
+    def _encode(self, root: Root, models: Mapping[str, FileModel]) -> _MergedConfig:
         encoded = {name: encode_file(model) for name, model in models.items()}
-        files = {name: digest_of(data) for name, data in sorted(encoded.items())}
+        files = {name: content_digest(data) for name, data in sorted(encoded.items())}
         changed = sorted({*self._submission.files, *self._submission.removed})
         change = Change(
             generation=root.generation + 1,
@@ -209,10 +211,10 @@
             wall=self._clock.wall(),
             files=changed,
         )
-        history = [*root.history, change][-_HISTORY:]
+        history = [*root.history, change][-_MAX_HISTORY:]
         new_root = Root(generation=change.generation, files=files, history=history)
         contents = {files[n]: encoded[n] for n in self._submission.files}
-        return _Merged(new_root, contents)
+        return _MergedConfig(new_root, contents)
 
     def _write_contents(self, contents: Mapping[str, bytes]) -> Unavailable | None:
         for digest, data in contents.items():
@@ -231,7 +233,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Merged:
+class _MergedConfig:
     root: Root
     contents: dict[str, bytes]
 
@@ -248,6 +250,6 @@
     return msgspec.json.encode(model, order="deterministic")
 
 
-def digest_of(data: bytes) -> str:
+def content_digest(data: bytes) -> str:
     """Return the name of a content object."""
     return hashlib.sha256(data).hexdigest()
--- a/src/canvasyoke/state/_validate.py
+++ b/src/canvasyoke/state/_validate.py
@@ -18,9 +18,9 @@
 
 def validate(document: Document, model: type[ModelT]) -> ModelT | list[Fault]:
     """Return the model that ``document`` holds, or all its faults."""
-    walker = _Walker(document)
-    value = walker.convert(document.value, model, ())
-    return walker.faults or value
+    validator = _Validator(document)
+    value = validator.convert(document.value, model, ())
+    return validator.faults or value
 
 
 def check_file(text: str, file: str) -> FileModel | list[Fault]:
@@ -31,7 +31,7 @@
     return validate(document, FileModel)
 
 
-class _Walker:
+class _Validator:
     def __init__(self, document: Document) -> None:
         self.faults: list[Fault] = []
         self._document = document
@@ -48,45 +48,45 @@
             return self._convert_list(value, arguments[0], path)
         return self._convert_leaf(value, kind, path)
 
-    def _fault(self, path: Path, expected: str) -> None:
+    def _add_fault(self, path: Path, expected: str) -> None:
         self.faults.append(self._document.fault(path, expected))
 
     def _convert_struct(self, value: Any, kind: type[msgspec.Struct], path: Path) -> Any:
         if not isinstance(value, dict):
-            self._fault(path, f"expected a mapping, got {_describe(value)}")
+            self._add_fault(path, f"expected a mapping, got {_describe(value)}")
             return None
         fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
         for name in value:
             if name not in fields:
                 known = ", ".join(sorted(fields))
-                self._fault((*path, name), f"unknown field; expected one of: {known}")
+                self._add_fault((*path, name), f"unknown field; expected one of: {known}")
         before = len(self.faults)
         converted = {}
         for name, field in fields.items():
             if name in value:
                 converted[field.name] = self.convert(value[name], field.type, (*path, name))
             elif field.required:
-                self._fault((*path, name), "is required and missing")
+                self._add_fault((*path, name), "is required and missing")
         if len(self.faults) > before:
             return None
-        return self._finish(kind, converted, path)
+        return self._construct(kind, converted, path)
 
-    def _finish(self, kind: type[msgspec.Struct], values: dict[str, Any], path: Path) -> Any:
+    def _construct(self, kind: type[msgspec.Struct], values: dict[str, Any], path: Path) -> Any:
         try:
             return kind(**values)
         except ValueError as exc:
-            self._fault(path, str(exc))
+            self._add_fault(path, str(exc))
             return None
 
     def _convert_mapping(self, value: Any, kind: Any, path: Path) -> Any:
         if not isinstance(value, dict):
-            self._fault(path, f"expected a mapping of names, got {_describe(value)}")
+            self._add_fault(path, f"expected a mapping of names, got {_describe(value)}")
             return None
         return {name: self.convert(item, kind, (*path, name)) for name, item in value.items()}
 
     def _convert_list(self, value: Any, kind: Any, path: Path) -> Any:
         if not isinstance(value, list):
-            self._fault(path, f"expected a list, got {_describe(value)}")
+            self._add_fault(path, f"expected a list, got {_describe(value)}")
             return None
         return [self.convert(item, kind, (*path, index)) for index, item in enumerate(value)]
 
@@ -94,7 +94,7 @@
         try:
             return msgspec.convert(value, kind)
         except msgspec.ValidationError as exc:
-            self._fault(path, f"{str(exc).split(' - at')[0]} (got {_describe(value)})")
+            self._add_fault(path, f"{str(exc).split(' - at')[0]} (got {_describe(value)})")
             return None
 
 
--- a/src/canvasyoke/state/reference.py
+++ b/src/canvasyoke/state/reference.py
@@ -100,16 +100,16 @@
 
 
 def _bounds(name: str, meta: list[msgspec.Meta]) -> str:
-    lowest = next((m.ge for m in meta if m.ge is not None), None)
-    highest = next((m.le for m in meta if m.le is not None), None)
+    minimum = next((m.ge for m in meta if m.ge is not None), None)
+    maximum = next((m.le for m in meta if m.le is not None), None)
     pattern = next((m.pattern for m in meta if m.pattern), None)
-    above: float | None = next((m.gt for m in meta if m.gt is not None), None)
-    if above is not None:
-        return f"{name}, above {above}"
-    if lowest is not None and highest is not None:
-        return f"{name}, {lowest} to {highest}"
-    if lowest is not None:
-        return f"{name}, at least {lowest}"
+    exclusive_minimum: float | None = next((m.gt for m in meta if m.gt is not None), None)
+    if exclusive_minimum is not None:
+        return f"{name}, above {exclusive_minimum}"
+    if minimum is not None and maximum is not None:
+        return f"{name}, {minimum} to {maximum}"
+    if minimum is not None:
+        return f"{name}, at least {minimum}"
     return f"{name} like `{pattern}`".replace("|", "\\|") if pattern else name
 
 
--- a/src/canvasyoke/state/tests/test_document.py
+++ b/src/canvasyoke/state/tests/test_document.py
@@ -2,7 +2,7 @@
 
 from canvasyoke.state import FileModel, check_file
 
-GOOD = """
+VALID_FILE = """
 services:
   ink:
     kind: model
@@ -11,23 +11,23 @@
 """
 
 
-def faults(text: str) -> list[str]:
+def check_faults(text: str) -> list[str]:
     result = check_file(text, "f.yaml")
     assert isinstance(result, list)
     return [str(fault) for fault in result]
 
 
-def test_good_file() -> None:
-    model = check_file(GOOD, "f.yaml")
+def test_valid_file() -> None:
+    model = check_file(VALID_FILE, "f.yaml")
     assert isinstance(model, FileModel)
     assert model.engines["ink-1"].slots == 4
 
 
-def test_empty_file_is_in_order() -> None:
+def test_empty_file_is_valid() -> None:
     assert check_file("", "f.yaml") == FileModel()
 
 
-def test_every_fault_is_reported_in_one_go() -> None:
+def test_all_faults_are_reported_together() -> None:
     text = """
 services:
   ink:
@@ -40,7 +40,7 @@
 organisations:
   kibanda: {}
 """
-    found = faults(text)
+    found = check_faults(text)
     assert [f.split(": ")[0] for f in found] == [
         "f.yaml:6",
         "f.yaml:4",
@@ -63,5 +63,5 @@
         ("services: {Ink Model: {kind: model}}", "is not a name"),
     ],
 )
-def test_broken_files(text: str, expected: str) -> None:
-    assert any(expected in fault for fault in faults(text))
+def test_invalid_files(text: str, expected: str) -> None:
+    assert any(expected in fault for fault in check_faults(text))
--- a/src/canvasyoke/state/tests/test_notes.py
+++ b/src/canvasyoke/state/tests/test_notes.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from canvasyoke.state import Note, NotedAddress, Unusable, read_note
+from canvasyoke.state import Note, SocketAddress, Unusable, read_note
 
 
-class _Told(msgspec.Struct, frozen=True):
-    peer: NotedAddress
+class _NoteBody(msgspec.Struct, frozen=True):
+    peer: SocketAddress
     domain: str = ""
 
 
-SOUND = {"peer": "10.0.0.1:7340", "domain": "nbo-a"}
-BROKEN: list[bytes] = [
+VALID = {"peer": "10.0.0.1:7340", "domain": "nbo-a"}
+INVALID: list[bytes] = [
     b"",
     b"null",
     b"\xff\xfe",
@@ -32,17 +32,17 @@
 ]
 
 
-def test_a_sound_note_is_read() -> None:
-    assert read_note(Note("a", 1, msgspec.json.encode(SOUND)), _Told) == _Told(**SOUND)
+def test_valid_note_is_decoded() -> None:
+    assert read_note(Note("a", 1, msgspec.json.encode(VALID)), _NoteBody) == _NoteBody(**VALID)
 
 
-@pytest.mark.parametrize("body", BROKEN)
-def test_a_broken_note_is_named(body: bytes) -> None:
-    told = read_note(Note("odd", 1, body), _Told)
-    assert isinstance(told, Unusable)
-    assert "odd" in told.detail
+@pytest.mark.parametrize("body", INVALID)
+def test_invalid_note_is_reported_by_name(body: bytes) -> None:
+    result = read_note(Note("odd", 1, body), _NoteBody)
+    assert isinstance(result, Unusable)
+    assert "odd" in result.detail
 
 
 @given(st.binary() | st.builds(msgspec.json.encode, st.dictionaries(st.text(), st.text())))
-def test_no_note_raises(body: Any) -> None:
-    assert isinstance(read_note(Note("odd", 1, body), _Told), Unusable | _Told)
+def test_arbitrary_note_bodies_do_not_raise(body: Any) -> None:
+    assert isinstance(read_note(Note("odd", 1, body), _NoteBody), Unusable | _NoteBody)
--- a/src/canvasyoke/state/tests/test_platform_http.py
+++ b/src/canvasyoke/state/tests/test_platform_http.py
@@ -25,31 +25,31 @@
 
 
 @dataclass
-class World:
+class AdapterHarness:
     """A stand-in, an adapter, and a way to set faults."""
 
     address: str
     platform: HttpPlatform
 
-    def fault(self, **changes: object) -> None:
-        self.put("/faults", changes)
+    def set_faults(self, **changes: object) -> None:
+        self.put_json("/faults", changes)
 
-    def put(self, path: str, value: object) -> None:
+    def put_json(self, path: str, value: object) -> None:
         urllib3.request("PUT", f"http://{self.address}{path}", body=json.dumps(value).encode())
 
 
 @pytest.fixture
-def world() -> Iterator[World]:
+def harness() -> Iterator[AdapterHarness]:
     address = free_address()
     server = serve(address, Store())
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    yield World(address, HttpPlatform(address))
+    yield AdapterHarness(address, HttpPlatform(address))
     server.shutdown()
     server.server_close()
 
 
-def test_conditional_writes(world: World) -> None:
-    platform = world.platform
+def test_conditional_writes(harness: AdapterHarness) -> None:
+    platform = harness.platform
     assert platform.read("a/b c") == Absent("a/b c")
     first = platform.write("a/b c", b"1", CREATE)
     assert isinstance(first, Written)
@@ -62,8 +62,8 @@
     assert platform.list_keys("a/") == []
 
 
-def test_watch_returns_what_is_newer_or_nothing(world: World) -> None:
-    platform = world.platform
+def test_watch_returns_only_newer_versions(harness: AdapterHarness) -> None:
+    platform = harness.platform
     assert platform.watch("k", 0, 20) == Unchanged()
     written = platform.write("k", b"1", CREATE)
     assert isinstance(written, Written)
@@ -71,9 +71,9 @@
     assert platform.watch("k", written.version, 20) == Unchanged()
 
 
-def test_down_is_unavailable_for_all_calls(world: World) -> None:
-    world.fault(down=True)
-    platform = world.platform
+def test_all_calls_report_an_unavailable_platform(harness: AdapterHarness) -> None:
+    harness.set_faults(down=True)
+    platform = harness.platform
     results = [
         platform.read("k"),
         platform.write("k", b"", CREATE),
@@ -85,40 +85,40 @@
     assert all(isinstance(result, Unavailable) for result in results)
 
 
-def test_nobody_there_is_certain_not_ambiguous() -> None:
+def test_refused_connection_is_not_ambiguous() -> None:
     result = HttpPlatform(free_address()).write("k", b"", CREATE)
     assert isinstance(result, Unavailable)
     assert not result.ambiguous
 
 
-def test_lost_answer_is_ambiguous_and_took_effect(world: World) -> None:
-    world.fault(lose_answers=1)
-    result = world.platform.write("k", b"1", CREATE)
+def test_write_with_lost_response_is_ambiguous(harness: AdapterHarness) -> None:
+    harness.set_faults(lose_answers=1)
+    result = harness.platform.write("k", b"1", CREATE)
     assert isinstance(result, Unavailable)
     assert result.ambiguous
-    found = world.platform.read("k")
+    found = harness.platform.read("k")
     assert isinstance(found, Found)
     assert found.value == b"1"
 
 
-def test_stale_reads_show_the_version_before(world: World) -> None:
-    first = world.platform.write("k", b"1", CREATE)
+def test_stale_read_returns_the_previous_version(harness: AdapterHarness) -> None:
+    first = harness.platform.write("k", b"1", CREATE)
     assert isinstance(first, Written)
-    world.platform.write("k", b"2", first.version)
-    world.fault(stale_ms=60_000)
-    assert world.platform.read("k") == Found("k", first.version, b"1")
+    harness.platform.write("k", b"2", first.version)
+    harness.set_faults(stale_ms=60_000)
+    assert harness.platform.read("k") == Found("k", first.version, b"1")
 
 
-def test_list_lags(world: World) -> None:
-    line = {"role": "target", "domain": "d", "address": "127.0.0.1:1", "state": "leaving"}
-    world.fault(list_lag_ms=60_000)
-    world.put("/instances/t-1", line)
-    assert world.platform.instances() == []
-    world.fault(list_lag_ms=0)
+def test_instance_list_lags(harness: AdapterHarness) -> None:
+    instance = {"role": "target", "domain": "d", "address": "127.0.0.1:1", "state": "leaving"}
+    harness.set_faults(list_lag_ms=60_000)
+    harness.put_json("/instances/t-1", instance)
+    assert harness.platform.instances() == []
+    harness.set_faults(list_lag_ms=0)
     expected = Instance("t-1", "target", "d", "127.0.0.1:1", InstanceState.LEAVING)
-    assert world.platform.instances() == [expected]
+    assert harness.platform.instances() == [expected]
 
 
-def test_slow_answers_still_count(world: World) -> None:
-    world.fault(slow_ms=100)
-    assert isinstance(world.platform.write("k", b"1", CREATE), Written)
+def test_slow_response_is_accepted(harness: AdapterHarness) -> None:
+    harness.set_faults(slow_ms=100)
+    assert isinstance(harness.platform.write("k", b"1", CREATE), Written)
--- a/src/canvasyoke/state/tests/test_reference.py
+++ b/src/canvasyoke/state/tests/test_reference.py
@@ -11,11 +11,11 @@
     ("name", "page"),
     [("CONFIGURATION.md", configuration_page()), ("SETTINGS.md", settings_page())],
 )
-def test_pages_are_what_the_models_say(name: str, page: str) -> None:
+def test_committed_pages_match_the_models(name: str, page: str) -> None:
     assert (DOCS / name).read_text() == page, "run make docs"
 
 
-def test_every_field_is_explained() -> None:
+def test_every_field_has_a_description() -> None:
     rows = [line for line in configuration_page().splitlines() if line.startswith("| `")]
     assert len(rows) > 30
     assert all(row.split("|")[-2].strip() for row in rows)
--- a/src/canvasyoke/state/tests/test_settings.py
+++ b/src/canvasyoke/state/tests/test_settings.py
@@ -11,7 +11,7 @@
     load_settings,
 )
 
-GOOD = """
+VALID_SETTINGS = """
 instance: e-1
 domain: nbo-a
 http: 127.0.0.1:8080
@@ -27,14 +27,14 @@
     return load_settings(str(path), EntrySettings)
 
 
-def test_good_settings_have_defaults(tmp_path: Path) -> None:
-    settings = load(tmp_path, GOOD)
+def test_optional_settings_have_defaults(tmp_path: Path) -> None:
+    settings = load(tmp_path, VALID_SETTINGS)
     assert isinstance(settings, EntrySettings)
     assert (settings.log.level, settings.platform.adapter) == ("info", "http-json")
 
 
-def test_every_fault_is_reported(tmp_path: Path) -> None:
-    text = GOOD.replace("127.0.0.1:8080", "localhost:80").replace("0f" * 32, "short")
+def test_all_faults_are_reported_together(tmp_path: Path) -> None:
+    text = VALID_SETTINGS.replace("127.0.0.1:8080", "localhost:80").replace("0f" * 32, "short")
     faults = load(tmp_path, text + "log: {level: loud}\ncolour: blue\n")
     assert isinstance(faults, list)
     assert [(f.line, f.path) for f in faults] == [
@@ -46,17 +46,17 @@
 
 
 @pytest.mark.parametrize("text", ["", "a: [", "- 1"])
-def test_broken_files_are_faults_not_exceptions(tmp_path: Path, text: str) -> None:
+def test_invalid_files_return_faults(tmp_path: Path, text: str) -> None:
     assert isinstance(load(tmp_path, text), list)
 
 
-def test_missing_file_is_a_fault() -> None:
+def test_missing_file_returns_a_fault() -> None:
     faults = load_settings("/nonexistent/t.yaml", TargetSettings)
     assert isinstance(faults, list)
     assert "cannot be read" in str(faults[0])
 
 
-def test_a_file_that_is_written_again_is_noticed_once(tmp_path: Path) -> None:
+def test_each_file_change_is_reported_once(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     watched = WatchedFile(str(path))
     assert not watched.has_changed()
@@ -69,7 +69,7 @@
     assert not watched.has_changed()
 
 
-DIRECT = """
+DIRECT_SETTINGS = """
 instance: front-1
 domain: nbo-a
 http: 10.1.0.40:8227
@@ -81,7 +81,7 @@
 """
 
 #: Figures that a deployment hands over, as whole numbers and as fractions.
-FIGURES = [
+RETRY_SETTINGS = [
     ("retry_ratio", "0.2", 0.2),
     ("retry_ratio", "1", 1.0),
     ("retry_window_s", "10", 10.0),
@@ -93,12 +93,12 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "text", "value"), FIGURES)
-def test_figures_of_a_deployment_need_not_be_whole(
+@pytest.mark.parametrize(("name", "text", "value"), RETRY_SETTINGS)
+def test_retry_settings_accept_integers_and_fractions(
     tmp_path: Path, name: str, text: str, value: float
 ) -> None:
     path = tmp_path / "e.yaml"
-    path.write_text(f"{DIRECT}{name}: {text}\n")
+    path.write_text(f"{DIRECT_SETTINGS}{name}: {text}\n")
     settings = load_settings(str(path), DirectSettings)
     assert isinstance(settings, DirectSettings)
     assert getattr(settings, name) == value
@@ -106,9 +106,9 @@
 
 @pytest.mark.parametrize("name", ["retry_ratio", "retry_window_s", "retry_slack"])
 @pytest.mark.parametrize("text", ["many", "-1", "true", "[1]"])
-def test_a_figure_of_another_kind_is_one_fault(tmp_path: Path, name: str, text: str) -> None:
+def test_invalid_retry_setting_is_one_fault(tmp_path: Path, name: str, text: str) -> None:
     path = tmp_path / "e.yaml"
-    path.write_text(f"{DIRECT}{name}: {text}\n")
+    path.write_text(f"{DIRECT_SETTINGS}{name}: {text}\n")
     faults = load_settings(str(path), DirectSettings)
     assert isinstance(faults, list)
     assert [fault.path for fault in faults] == [name]
--- a/src/canvasyoke/state/tests/test_submission.py
+++ b/src/canvasyoke/state/tests/test_submission.py
@@ -26,17 +26,17 @@
 from fakes.memory_platform import MemoryPlatform
 
 
-def model(text: str) -> FileModel:
+def parse_model(text: str) -> FileModel:
     parsed = check_file(text, "f.yaml")
     assert isinstance(parsed, FileModel)
     return parsed
 
 
-SERVICES = model("services: {ink: {kind: model}}")
-ENGINES = model("engines: {ink-1: {service: ink}}")
+SERVICES = parse_model("services: {ink: {kind: model}}")
+ENGINES = parse_model("engines: {ink-1: {service: ink}}")
 
 
-def put(
+def submit_files(
     platform: MemoryPlatform,
     base: int,
     files: dict[str, FileModel],
@@ -53,61 +53,63 @@
     return submit(platform, submission, clock, sleep=sleep or advance, rng=random.Random(1))
 
 
-def test_files_come_into_force_together() -> None:
+def test_files_are_activated_together() -> None:
     platform = MemoryPlatform()
-    assert put(platform, 0, {"a": SERVICES, "b": ENGINES}) == Accepted(1)
+    assert submit_files(platform, 0, {"a": SERVICES, "b": ENGINES}) == Accepted(1)
     root = read_root(platform)
     assert isinstance(root, Root)
     assert set(root.files) == {"a", "b"}
 
 
-def test_references_are_checked_against_the_whole_set() -> None:
+def test_references_are_checked_across_all_files() -> None:
     platform = MemoryPlatform()
-    refused = put(platform, 0, {"b": ENGINES})
+    refused = submit_files(platform, 0, {"b": ENGINES})
     assert isinstance(refused, Rejected)
     assert refused.faults[0].path == ("engines", "ink-1", "service")
     assert not platform.objects
-    assert put(platform, 0, {"a": SERVICES, "b": ENGINES}) == Accepted(1)
-    assert isinstance(put(platform, 1, {"c": FileModel()}, "t", removed=("a",)), Rejected)
+    assert submit_files(platform, 0, {"a": SERVICES, "b": ENGINES}) == Accepted(1)
+    assert isinstance(submit_files(platform, 1, {"c": FileModel()}, "t", removed=("a",)), Rejected)
 
 
-def test_racing_operator_is_told_what_it_lost_to() -> None:
+def test_rejected_submission_lists_conflicting_changes() -> None:
     platform = MemoryPlatform()
-    put(platform, 0, {"a": SERVICES}, "first")
-    lost = put(platform, 0, {"a": FileModel()}, "second")
+    submit_files(platform, 0, {"a": SERVICES}, "first")
+    lost = submit_files(platform, 0, {"a": FileModel()}, "second")
     assert isinstance(lost, Rejected)
     assert [(c.generation, c.operator, c.files) for c in lost.changes] == [(1, "amina", ["a"])]
 
 
-def test_lost_answer_is_settled_by_reading_back() -> None:
+def test_lost_response_is_resolved_by_reading_the_root() -> None:
     platform = MemoryPlatform(lose_answers=5)
-    assert put(platform, 0, {"a": SERVICES}) == Accepted(1)
-    assert put(platform, 0, {"a": SERVICES}) == Accepted(1), "the same submission, not a second"
+    assert submit_files(platform, 0, {"a": SERVICES}) == Accepted(1)
+    assert submit_files(platform, 0, {"a": SERVICES}) == Accepted(1), (
+        "the same submission, not a second"
+    )
 
 
-def test_applied_submission_is_recognised_after_others_followed() -> None:
+def test_applied_submission_is_recognised_after_later_ones() -> None:
     platform = MemoryPlatform()
-    put(platform, 0, {"a": SERVICES}, "mine")
-    put(platform, 1, {"b": ENGINES}, "other")
-    assert put(platform, 0, {"a": SERVICES}, "mine") == Accepted(1)
+    submit_files(platform, 0, {"a": SERVICES}, "mine")
+    submit_files(platform, 1, {"b": ENGINES}, "other")
+    assert submit_files(platform, 0, {"a": SERVICES}, "mine") == Accepted(1)
 
 
-def test_unreadable_platform_is_ambiguous_not_refused() -> None:
-    assert isinstance(put(MemoryPlatform(down=True), 0, {"a": SERVICES}), Ambiguous)
+def test_unavailable_platform_gives_an_ambiguous_result() -> None:
+    assert isinstance(submit_files(MemoryPlatform(down=True), 0, {"a": SERVICES}), Ambiguous)
 
 
-def snapshot(platform: MemoryPlatform) -> Snapshot:
+def load_current_snapshot(platform: MemoryPlatform) -> Snapshot:
     loaded = load_snapshot(platform, platform.objects[ROOT_KEY].value, {})
     assert isinstance(loaded, Snapshot)
     return loaded
 
 
-def test_keeper_never_goes_back() -> None:
+def test_keeper_ignores_older_generations() -> None:
     platform = MemoryPlatform()
-    put(platform, 0, {"a": SERVICES}, "1")
-    old = snapshot(platform)
-    put(platform, 1, {"b": ENGINES}, "2")
-    new = snapshot(platform)
+    submit_files(platform, 0, {"a": SERVICES}, "1")
+    old = load_current_snapshot(platform)
+    submit_files(platform, 1, {"b": ENGINES}, "2")
+    new = load_current_snapshot(platform)
     view = ConfigView()
     keeper = ConfigKeeper.start(view, lambda config: None)
     try:
@@ -121,14 +123,14 @@
 
 def test_damaged_snapshot_is_not_adopted() -> None:
     platform = MemoryPlatform()
-    put(platform, 0, {"a": SERVICES})
-    good = snapshot(platform)
+    submit_files(platform, 0, {"a": SERVICES})
+    good = load_current_snapshot(platform)
     damaged = Snapshot(good.root, dict.fromkeys(good.contents, b"{}"))
     with pytest.raises(ValueError, match="damaged"):
         damaged.parse()
 
 
-def test_audit_trail_is_bounded_and_filtered() -> None:
+def test_audit_trail_is_trimmed_and_filtered() -> None:
     trail = AuditTrail(MemoryPlatform(), limit=50)
     for number in range(120):
         entry = AuditEntry(
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -251,7 +251,7 @@
     def _key_slots(self) -> int:
         """Return the slots of the service's keys; 0 when it needs none."""
         service = self._view.current.services.get(self._settings.service)
-        return service.model.key_slots if service and service.holds_keys else 0
+        return service.model.key_slots if service and service.accepts_non_repeatable else 0
 
     def _hold(self, holding: Holding) -> None:
         self._holding = holding
