--- a/src/canvasyoke/cli/_main.py
+++ b/src/canvasyoke/cli/_main.py
@@ -1,9 +1,8 @@
-"""Finds the command, checks its arguments strictly, and runs it.
+"""Command dispatch and argument parsing.
 
-Fire turns a function into a command, but takes stray arguments and turns values
-into Python objects. Here each argument is checked against the function's
-signature first and stays a string. The two long-running roles are started
-without fire, which would stay in their memory.
+Fire accepts unexpected arguments and converts values to Python objects. Arguments are therefore
+checked against the signature of the command first, and passed as strings. Long-running roles are
+started without importing fire, to save memory.
 """
 
 from __future__ import annotations
@@ -13,14 +12,14 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from canvasyoke.cli import _operator, _roles  # noqa: F401  (they fill the registry)
+from canvasyoke.cli import _operator, _roles  # noqa: F401  (register commands)
 from canvasyoke.cli._registry import COMMANDS, DAEMONS, USAGE, Command
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command in ``argv`` (default: the process's) and return its exit code.
+    """Run the command in ``argv`` (default: ``sys.argv``) and return its exit code.
 
-    0 means done, 1 refused or failed, 2 that the command was not understood.
+    The exit code is 0 on success, 1 if the command was refused or failed, and 2 on usage errors.
     """
     arguments = list(sys.argv[1:] if argv is None else argv)
     if not arguments or arguments[0] in ("-h", "--help", "help"):
@@ -43,13 +42,13 @@
 
 @dataclass(slots=True)
 class _BoundArguments:
-    """Arguments that fit a command."""
+    """Parsed arguments that match the signature of a command."""
 
     positional: list[str] = field(default_factory=list)
     options: dict[str, str] = field(default_factory=dict)
 
     def to_argv(self) -> list[str]:
-        """Return the arguments as words, options last."""
+        """Return the arguments as a command line, options last."""
         words = list(self.positional)
         for name, value in self.options.items():
             words.append(f"--{name}={value}")
@@ -70,7 +69,7 @@
 
 
 def _bind_arguments(command: Command, words: Sequence[str]) -> _BoundArguments | str:
-    """Return the arguments in ``words``, or what is wrong with them."""
+    """Parse ``words`` for ``command``; return an error message if they are invalid."""
     parameters = inspect.signature(command).parameters.values()
     options = {p.name: p for p in parameters if p.kind is p.KEYWORD_ONLY}
     accepts_files = any(p.kind is p.VAR_POSITIONAL for p in parameters)
--- a/src/canvasyoke/cli/_operator.py
+++ b/src/canvasyoke/cli/_operator.py
@@ -1,4 +1,4 @@
-"""The operators' commands: ``check``, ``apply``, ``status``, ``quarantine``, ``audit``, ..."""
+"""Commands for operators, such as ``check``, ``apply``, ``status`` and ``audit``."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
 
 class _LoadedFiles(msgspec.Struct):
-    """Files that are each in order, and the documents that tell their lines."""
+    """Valid files by name, and their documents for line numbers."""
 
     models: dict[str, FileModel]
     documents: dict[str, Document]
 
 
 def _load_files(files: Sequence[str]) -> _LoadedFiles | list[Fault]:
-    """Return the files, or every fault in any of them."""
+    """Load and validate ``files``; return the faults of all files if there are any."""
     loaded = _LoadedFiles({}, {})
     faults: list[Fault] = []
     for file in files:
@@ -79,7 +79,7 @@
 def _locate_faults(
     faults: Sequence[ReferenceFault], documents: Mapping[str, Document]
 ) -> list[Fault]:
-    """Return ``faults`` with lines, where their file was given."""
+    """Add line numbers to ``faults`` in files whose document is known."""
     located = []
     for fault in faults:
         document = documents.get(fault.file)
@@ -98,11 +98,11 @@
 
 @COMMANDS.register("check")
 def check(*files: str) -> int:
-    """Check configuration files, alone and together.
+    """Check configuration files, individually and for consistency.
 
-    FILE...   files that would be in force together
+    FILE...   all files of the configuration
 
-    Prints every fault with file, line, path and what was expected.
+    Prints every fault with file, line, path and expected value.
     """
     loaded = _load_files(files)
     if isinstance(loaded, list):
@@ -123,16 +123,16 @@
     remove: str = "",
     adapter: str = "http-json",
 ) -> int:
-    """Put configuration files in force, all of them or none.
+    """Activate configuration files atomically.
 
-    FILE...                files to put in force; one of the same name is replaced
+    FILE...                files to activate; active files of the same name are replaced
     --platform IP:PORT     the platform's object API
-    --generation N         generation the files were written against; 0 for the first
-    --operator NAME        who submits, for the audit trail (default: the user's name)
-    --remove NAME[,NAME]   files to take out of force
+    --generation N         generation on which the files are based; 0 for the first
+    --operator NAME        operator for the audit trail (default: the user's name)
+    --remove NAME[,NAME]   active files to remove
     --adapter NAME         platform adapter
 
-    Refused when another generation is in force by now; what changed is shown.
+    Refused if another generation is active; the changes since N are then shown.
     """
     if not generation.isdigit():
         return _usage_error(f"--generation takes a number, not {generation!r}")
@@ -194,10 +194,10 @@
 
 @COMMANDS.register("status")
 def status(*, entry: str, output: str = "text") -> int:
-    """Show what is in force and what is wrong, as one entry sees it.
+    """Show the fleet status and detected problems, as seen by one entry.
 
     --entry IP:PORT     admin address of any entry
-    --output text|json  for people or for programs
+    --output text|json  output format
     """
     if output not in _OUTPUTS:
         return _usage_error(f"--output takes text or json, not {output!r}")
@@ -214,11 +214,11 @@
 
 @COMMANDS.register("quarantine")
 def quarantine(*, entry: str, release: str = "", output: str = "text") -> int:
-    """Show requests that are kept from all backends since backends end under them.
+    """Show quarantined requests, which are blocked because they crash backends.
 
     --entry IP:PORT        metrics address of any direct entry
-    --release FINGERPRINT  let this one run again, at all entries
-    --output text|json     for people or for programs
+    --release FINGERPRINT  release this request from quarantine at all entries
+    --output text|json     output format
     """
     if output not in _OUTPUTS:
         return _usage_error(f"--output takes text or json, not {output!r}")
@@ -250,12 +250,12 @@
     output: str = "text",
     adapter: str = "http-json",
 ) -> int:
-    """Show the audit trail: who changed what, when, and what was refused.
+    """Show the audit trail of accepted and refused changes.
 
     --platform IP:PORT  the platform's object API
-    --since TIME        from this time on, as 2026-01-31 or 2026-01-31T08:00 (UTC)
-    --service NAME      only what concerns this service, group or file
-    --output text|json  for people or for programs
+    --since TIME        earliest time, such as 2026-01-31 or 2026-01-31T08:00 (UTC)
+    --service NAME      only entries about this service, group or file
+    --output text|json  output format
     --adapter NAME      platform adapter
     """
     if output not in _OUTPUTS:
@@ -275,7 +275,7 @@
 def _read_audit_entries(
     platform: Platform, since: int, subject: str
 ) -> list[AuditEntry] | Unavailable:
-    """Return the trail, with changes from the root that never reached it."""
+    """Return the audit entries, completed by changes that only the root's history has."""
     entries = AuditTrail(platform).read(since, subject)
     root = read_root(platform)
     if isinstance(entries, Unavailable) or isinstance(root, Unavailable):
@@ -318,6 +318,6 @@
 
 @COMMANDS.register("version")
 def version() -> int:
-    """Print the versions of the program and of its protocol."""
+    """Print the program version and the protocol version."""
     print(f"canvasyoke {VERSION}, protocol {PROTOCOL_VERSION}")
     return DONE
--- a/src/canvasyoke/cli/_registry.py
+++ b/src/canvasyoke/cli/_registry.py
@@ -1,4 +1,4 @@
-"""The registry of commands and the exit codes they share."""
+"""Command registry and exit codes."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from canvasyoke._registry import Registry
 
-#: What was asked is done.
+#: Success.
 DONE: Final = 0
-#: What was asked was refused or failed.
+#: The operation was refused or failed.
 REFUSED: Final = 1
-#: The command line was not understood.
+#: Invalid command line.
 USAGE: Final = 2
-#: A role ended because one of its tasks died; as in sysexits, EX_SOFTWARE.
+#: A thread of a role failed with an exception; ``EX_SOFTWARE`` of sysexits.
 FAULT: Final = 70
 
-#: A command: files as positional arguments, options by keyword, an exit code back.
+#: A command takes files as positional arguments and options by keyword, and returns an exit code.
 Command: TypeAlias = Callable[..., int]
 
-#: All commands by name.
+#: Commands by name.
 COMMANDS: Registry[Command] = Registry("command")
-#: Commands that run until they are told to stop.
+#: Commands that run until they receive a signal.
 DAEMONS: Final = frozenset({"entry", "target", "direct", "ranks"})
--- a/src/canvasyoke/cli/_render.py
+++ b/src/canvasyoke/cli/_render.py
@@ -1,4 +1,4 @@
-"""Status, quarantine and audit trail as text for people."""
+"""Text output of the status, quarantine and audit commands."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def render_status(data: bytes) -> str:
-    """Return the JSON of an entry's status as text."""
+    """Format the JSON status of an entry as text."""
     status = msgspec.json.decode(data, type=Status)
     entry = status.entry
     lines = [
@@ -52,7 +52,7 @@
 
 
 def render_quarantine(data: bytes) -> str:
-    """Return the JSON of the requests under which backends have ended as text."""
+    """Format the JSON list of quarantined and suspected requests as text."""
     listed = msgspec.json.decode(data, type=list[QuarantinedRequest])
     lines = [
         f"{req.fingerprint} {'kept from backends' if req.is_blamed else 'suspected'}: "
@@ -63,7 +63,7 @@
 
 
 def render_audit(entries: Sequence[AuditEntry]) -> str:
-    """Return the audit trail as text, oldest first."""
+    """Format the audit trail as text, in the given order."""
     lines = []
     for entry in entries:
         timestamp = datetime.datetime.fromtimestamp(entry.wall / 1_000, datetime.UTC)
--- a/src/canvasyoke/cli/_roles.py
+++ b/src/canvasyoke/cli/_roles.py
@@ -1,4 +1,4 @@
-"""The commands that run a role: ``entry``, ``target``, ``direct`` and ``ranks``."""
+"""Commands that run a role: ``entry``, ``target``, ``direct`` and ``ranks``."""
 
 from __future__ import annotations
 
@@ -28,18 +28,17 @@
 )
 
 _log = part_logger("role")
-#: Milliseconds for the last log lines to be written before the process ends.
+#: Milliseconds to wait for queued log lines to be written before the process exits.
 _FLUSH_TIMEOUT = 500
 
 
 @COMMANDS.register("entry")
 def entry(*, settings: str) -> int:
-    """Run an entry: take callers' requests.
+    """Run an entry, which accepts requests of callers.
 
     --settings FILE   settings of this instance; see docs/SETTINGS.md
 
-    It drains and exits on SIGTERM: it reports not ready, answers what it holds,
-    then ends.
+    On SIGTERM it reports not ready, completes its requests and exits.
     """
     loaded = load_settings(settings, EntrySettings)
     if isinstance(loaded, list):
@@ -52,12 +51,11 @@
 
 @COMMANDS.register("target")
 def target(*, settings: str) -> int:
-    """Run a target: the process beside an engine or plain service.
+    """Run a target, the process beside an engine or plain service.
 
     --settings FILE   settings of this instance; see docs/SETTINGS.md
 
-    It drains and exits on SIGTERM: it takes no new work, finishes what it has,
-    then ends.
+    On SIGTERM it accepts no new requests, completes its requests and exits.
     """
     loaded = load_settings(settings, TargetSettings)
     if isinstance(loaded, list):
@@ -70,18 +68,17 @@
 
 @COMMANDS.register("direct")
 def direct(*, settings: str) -> int:
-    """Run an entry that calls backends itself, without target processes.
+    """Run an entry that calls backends directly, without target processes.
 
     --settings FILE   settings of this instance; see docs/SETTINGS.md
 
-    It drains and exits on SIGTERM as an entry does, and reads its settings again on
-    SIGHUP.
+    On SIGTERM it drains and exits as an entry does. On SIGHUP it reloads its settings.
     """
     loaded = load_settings(settings, DirectSettings)
     if isinstance(loaded, list):
         return _print_faults(loaded)
     writer = configure_background_logging(loaded.log, loaded.instance, sys.stdout)
-    from canvasyoke import platform  # noqa: F401  (it fills the registries)
+    from canvasyoke import platform  # noqa: F401  (registers adapters)
     from canvasyoke.direct._process import DirectEntryProcess
 
     return _run(lambda: DirectEntryProcess(loaded, settings, writer).run(), writer)
@@ -89,7 +86,7 @@
 
 @COMMANDS.register("ranks")
 def ranks(*, settings: str) -> int:
-    """Run the process beside an engine that moves the experts of its rank group.
+    """Run a rank process, which manages the expert map of its rank group beside an engine.
 
     --settings FILE   settings of this instance; see docs/SETTINGS.md
     """
@@ -97,7 +94,7 @@
     if isinstance(loaded, list):
         return _print_faults(loaded)
     writer = configure_background_logging(loaded.log, loaded.instance, sys.stdout)
-    from canvasyoke import platform  # noqa: F401  (it fills the registries)
+    from canvasyoke import platform  # noqa: F401  (registers adapters)
     from canvasyoke.experts._process import RanksProcess
 
     return _run(lambda: RanksProcess(loaded, settings).run(), writer)
@@ -106,16 +103,16 @@
 def _exit_on_thread_failure(
     failure: threading.ExceptHookArgs, writer: LineWriter | None = None
 ) -> None:
-    """End the process when one of its tasks dies: half a process helps nobody.
+    """Exit the process when one of its threads fails with an exception.
 
-    Outcomes are values here, so an exception that reaches a task's end is a broken
-    invariant. The platform starts the process again, and its peers know what to do.
+    Expected errors are return values, so an uncaught exception indicates a broken invariant. The
+    platform restarts the process.
     """
     name = failure.thread.name if failure.thread else "?"
     trace = "".join(
         traceback.format_exception(failure.exc_type, failure.exc_value, failure.exc_traceback)
     )
-    _log.error("a task died, so the process ends", task=name, trace=trace)
+    _log.error("thread failed with an exception, exiting", task=name, trace=trace)
     _exit_process(FAULT, writer)
 
 
@@ -130,11 +127,10 @@
 
 
 def _exit_process(code: int, writer: LineWriter | None) -> NoReturn:
-    """End the process at once, with its last lines written and all else left as it is.
+    """Flush the output and exit without interpreter shutdown.
 
-    Tasks still wait on their links. Torn down below them by an orderly exit of the
-    interpreter, the library of the links aborts the process, or fails a task, which ends
-    it as a fault: with 16 waiting tasks ten of ten exits.
+    Threads can still be waiting on pynng sockets. During an orderly shutdown of the interpreter,
+    pynng then aborts the process or raises in such a thread, which changes the exit code.
     """
     if writer is not None:
         writer.flush(_FLUSH_TIMEOUT)
--- a/src/canvasyoke/cli/tests/test_main.py
+++ b/src/canvasyoke/cli/tests/test_main.py
@@ -43,7 +43,7 @@
 
 
 def test_numeric_arguments_stay_strings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """Fire would turn a file named 1 into a number."""
+    """Fire would convert the file name ``1`` to an integer."""
     path = tmp_path / "1"
     path.write_text("services: {}")
     assert main(["check", str(path)]) == 0
--- a/src/canvasyoke/cli/tests/test_roles.py
+++ b/src/canvasyoke/cli/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""How the process of a role ends."""
+"""Exit of role processes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-#: A role whose tasks wait on links of their own while it ends.
+#: A role whose threads wait on pynng sockets while it exits.
 ROLE_SCRIPT = """
 import sys, threading
 import pynng
--- a/src/canvasyoke/observe/__init__.py
+++ b/src/canvasyoke/observe/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics."""
+"""Logging and metrics."""
 
 from canvasyoke.observe._line_writer import LineWriter
 from canvasyoke.observe._logs import (
--- a/src/canvasyoke/observe/_line_writer.py
+++ b/src/canvasyoke/observe/_line_writer.py
@@ -1,8 +1,8 @@
-"""Writing log lines without ever holding up the task that logs.
+"""Non-blocking writer of log lines.
 
-Lines go into a bounded queue, and a task of their own writes them. What the reader of
-the stream does not take, and what goes over the rate allowed, is dropped and counted;
-the count is written as soon as there is room.
+Lines are put into a bounded queue, which a separate thread writes to the stream. Lines are dropped
+when the queue is full or the rate limit is exceeded. The next accepted line is preceded by a line
+with the number of dropped lines.
 """
 
 from __future__ import annotations
@@ -13,16 +13,15 @@
 
 from canvasyoke._clock import SECOND, Clock, SystemClock
 
-#: Lines that wait to be written; about 4 MB at 400 bytes each.
+#: Maximum number of queued lines.
 _QUEUE_LIMIT: Final = 10_000
-#: Lines a second that are written in the long run, and the lines that may come at once.
-#: An entry at twice its load of today writes about 30.
+#: Rate and capacity of the token bucket for lines that are not important.
 _LINES_PER_SECOND: Final = 200
 _MAX_BURST: Final = 1_000
 
 
 class LineWriter:
-    """Writes lines to a stream from a task of its own."""
+    """Writes lines to a stream from a background thread."""
 
     def __init__(self, stream: TextIO, clock: Clock | None = None) -> None:
         self._stream = stream
@@ -32,14 +31,14 @@
         self._writing = False
         self._tokens = float(_MAX_BURST)
         self._refilled_at = self._clock.now()
-        #: Lines dropped since the last line that said so, and in all.
+        #: Dropped lines that have not been reported yet, and in total.
         self._unreported_drops = 0
         self.dropped = 0
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
         self._thread.start()
 
     def put(self, line: str, important: bool) -> None:
-        """Queue ``line``; an important one is not subject to the rate."""
+        """Queue ``line``; an important line is exempt from the rate limit."""
         with self._condition:
             allowed = self._take_token() or important
             if not allowed or len(self._lines) >= _QUEUE_LIMIT:
@@ -65,7 +64,7 @@
         return True
 
     def flush(self, timeout: int) -> bool:
-        """Wait up to ``timeout`` milliseconds until all lines are written."""
+        """Wait up to ``timeout`` milliseconds for queued lines; return whether all are written."""
         with self._condition:
             return self._condition.wait_for(
                 lambda: not self._lines and not self._writing, timeout / SECOND
@@ -85,6 +84,6 @@
                 self._stream.write("\n".join(lines) + "\n")
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads the stream any more; there is nowhere left to say so.
+                # The stream is closed, so the error cannot be logged.
                 with self._condition:
                     self.dropped += len(lines)
--- a/src/canvasyoke/observe/_logs.py
+++ b/src/canvasyoke/observe/_logs.py
@@ -1,10 +1,10 @@
-"""Logs through logbook: short sentences, a fixed prefix for each part.
+"""Structured logging based on logbook, with one logger per part of the program.
 
 >>> log = part_logger("link")
 >>> log.info("peer is up", peer="ink-1")
 
-writes ``2026-01-05T07:00:00.000Z INFO link: peer is up peer=ink-1``, or the same
-as one JSON object a line. Neither bodies nor tokens are ever passed to a logger.
+writes ``2026-01-05T07:00:00.000Z INFO link: peer is up peer=ink-1``, or the
+equivalent JSON object on one line. Request bodies and tokens must not be logged.
 """
 
 from __future__ import annotations
@@ -30,35 +30,35 @@
 
 
 class PartLogger:
-    """The logger of one part of the program."""
+    """Logger of one part of the program, with fields as keyword arguments."""
 
     def __init__(self, part: str) -> None:
         self._logger = logbook.Logger(part)
 
     def debug(self, message: str, **fields: object) -> None:
-        """Log what helps while developing."""
+        """Log details for debugging."""
         self._logger.debug(message, extra=fields)
 
     def info(self, message: str, **fields: object) -> None:
-        """Log what an operator may want to know later."""
+        """Log a normal event."""
         self._logger.info(message, extra=fields)
 
     def warning(self, message: str, **fields: object) -> None:
-        """Log what should be looked at."""
+        """Log an unexpected condition that the process handles."""
         self._logger.warning(message, extra=fields)
 
     def error(self, message: str, **fields: object) -> None:
-        """Log what went wrong in the program itself."""
+        """Log an internal error."""
         self._logger.error(message, extra=fields)
 
 
 def part_logger(part: str) -> PartLogger:
-    """Return the logger of ``part``, whose name is the prefix of its lines."""
+    """Return a logger whose lines are prefixed with ``part``."""
     return PartLogger(part)
 
 
 class _LineHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes one line for each record."""
+    """Formats each record as one line."""
 
     def __init__(
         self, put: Callable[[str, bool], None], as_json: bool, level: int, instance: str
@@ -69,7 +69,7 @@
         self._instance = instance
 
     def emit(self, record: Any) -> None:
-        """Write ``record``."""
+        """Format ``record`` and write it."""
         line = self._format_json(record) if self._as_json else self._format_text(record)
         self._put(line, record.level >= logbook.WARNING)
 
@@ -96,7 +96,7 @@
 
 
 def configure_logging(settings: LogSettings, instance: str, stream: TextIO = sys.stderr) -> None:
-    """Send the logs of this process to ``stream`` as ``settings`` say."""
+    """Configure this process to log to ``stream``."""
     lock = threading.Lock()
 
     def put(line: str, _important: bool) -> None:
@@ -110,7 +110,7 @@
 def configure_background_logging(
     settings: LogSettings, instance: str, stream: TextIO
 ) -> LineWriter:
-    """Send the logs of this process to ``stream`` without ever waiting for its reader."""
+    """Configure this process to log to ``stream`` through a non-blocking :class:`LineWriter`."""
     writer = LineWriter(stream)
     _install_handler(writer.put, settings, instance)
     return writer
--- a/src/canvasyoke/observe/_metrics.py
+++ b/src/canvasyoke/observe/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and timers, printed in the Prometheus text format.
+"""Counters, gauges and timers, rendered in the Prometheus text format.
 
-Timers are HDR histograms (hdrhistogram): three significant digits from 10
-microseconds to ten minutes, so a quantile is as good far out as near the middle.
+Timers are HDR histograms with two significant digits between 10 microseconds and ten minutes, so
+the relative error is the same for all quantiles.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 _SIGNIFICANT_DIGITS: Final = 2
 _QUANTILES: Final = (0.5, 0.95, 0.99, 0.999)
 _MICROSECONDS_PER_MILLISECOND: Final = 1_000
-#: Series of one metric at the most; further label values are counted as ``other``.
+#: Maximum number of series per counter; further label values are counted as ``other``.
 _MAX_SERIES: Final = 500
 
 
 class Counter:
-    """A number that only grows, by label value."""
+    """A monotonic counter with at most one label."""
 
     def __init__(self, name: str, help_text: str, label: str) -> None:
         self.name = name
@@ -32,19 +32,19 @@
         self._values: dict[str, int] = {}
 
     def add(self, label_value: str = "", amount: int = 1) -> None:
-        """Count ``amount``."""
+        """Increase the counter by ``amount``."""
         with self._lock:
             if label_value not in self._values and len(self._values) >= _MAX_SERIES:
                 label_value = "other"
             self._values[label_value] = self._values.get(label_value, 0) + amount
 
     def value(self, label_value: str = "") -> int:
-        """Return the count so far."""
+        """Return the current value."""
         with self._lock:
             return self._values.get(label_value, 0)
 
     def render(self) -> list[str]:
-        """Return the lines of this metric."""
+        """Return this metric in the text format."""
         with self._lock:
             values = sorted(self._values.items())
         lines = [f"# HELP {self.name} {self._help}", f"# TYPE {self.name} counter"]
@@ -55,7 +55,7 @@
 
 
 class Gauge:
-    """A number read when asked for."""
+    """A value that is read from a callback when rendered."""
 
     def __init__(self, name: str, help_text: str, read: Callable[[], float]) -> None:
         self.name = name
@@ -63,7 +63,7 @@
         self._read = read
 
     def render(self) -> list[str]:
-        """Return the lines of this metric."""
+        """Return this metric in the text format."""
         head = [f"# HELP {self.name} {self._help}", f"# TYPE {self.name} gauge"]
         return [*head, f"{self.name} {self._read():g}"]
 
@@ -79,7 +79,7 @@
         self._sum = 0.0
 
     def record(self, duration: float) -> None:
-        """Add one duration in milliseconds."""
+        """Record a duration in milliseconds."""
         value = min(
             _MAX_MICROSECONDS,
             max(_MIN_MICROSECONDS, round(duration * _MICROSECONDS_PER_MILLISECOND)),
@@ -89,18 +89,18 @@
             self._sum += duration
 
     def quantile(self, fraction: float) -> float:
-        """Return the duration in milliseconds under which ``fraction`` of all lie."""
+        """Return the ``fraction`` quantile in milliseconds."""
         with self._lock:
             value = self._histogram.get_value_at_percentile(fraction * 100)
         return float(value) / _MICROSECONDS_PER_MILLISECOND
 
     @property
     def count(self) -> int:
-        """Return the number of durations."""
+        """The number of recorded durations."""
         return int(self._histogram.get_total_count())
 
     def render(self) -> list[str]:
-        """Return the lines of this metric, in seconds."""
+        """Return this metric in the text format, in seconds."""
         lines = [f"# HELP {self.name} {self._help}", f"# TYPE {self.name} summary"]
         for fraction in _QUANTILES if self.count else ():
             seconds = self.quantile(fraction) / 1_000
@@ -111,31 +111,31 @@
 
 
 class Metrics:
-    """All metrics of one process."""
+    """Registry of a process's metrics."""
 
     def __init__(self) -> None:
         self._metrics: list[Counter | Gauge | Timer] = []
 
     def counter(self, name: str, help_text: str, label: str = "") -> Counter:
-        """Add a counter."""
+        """Create and register a counter."""
         counter = Counter(name, help_text, label)
         self._metrics.append(counter)
         return counter
 
     def gauge(self, name: str, help_text: str, read: Callable[[], float]) -> Gauge:
-        """Add a gauge."""
+        """Create and register a gauge."""
         gauge = Gauge(name, help_text, read)
         self._metrics.append(gauge)
         return gauge
 
     def timer(self, name: str, help_text: str) -> Timer:
-        """Add a timer."""
+        """Create and register a timer."""
         timer = Timer(name, help_text)
         self._metrics.append(timer)
         return timer
 
     def render(self) -> str:
-        """Return all metrics as text."""
+        """Return all metrics in the text format."""
         return "\n".join(line for metric in self._metrics for line in metric.render()) + "\n"
 
 
--- a/src/canvasyoke/observe/tests/test_observe.py
+++ b/src/canvasyoke/observe/tests/test_observe.py
@@ -58,7 +58,7 @@
 
 
 class _BlockedStream(io.StringIO):
-    """A stream whose reader takes nothing until it is let go."""
+    """A stream whose writes block until it is released."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/src/canvasyoke/state/__init__.py
+++ b/src/canvasyoke/state/__init__.py
@@ -1,4 +1,4 @@
-"""Settings, the configuration in force, the platform port and the audit trail."""
+"""Process settings, active configuration, platform interfaces and the audit trail."""
 
 from canvasyoke.state._audit import AuditEntry, AuditTrail
 from canvasyoke.state._config import (
--- a/src/canvasyoke/state/_audit.py
+++ b/src/canvasyoke/state/_audit.py
@@ -1,7 +1,7 @@
-"""The audit trail: one small object in the platform for each thing done or refused.
+"""Audit trail of operator and system actions, stored on the platform.
 
-Entries are separate objects whose keys sort by time, so that writers never
-conflict. The trail is bounded: whoever appends also removes what is too old.
+Each entry is a separate object whose key sorts by time, so concurrent writers do not conflict.
+Appending also trims the oldest entries.
 """
 
 from __future__ import annotations
@@ -14,39 +14,39 @@
 from canvasyoke.state._platform import CREATE, Found, Platform, Unavailable
 
 _PREFIX: Final = "audit/"
-#: Entries kept.
+#: Maximum number of entries after trimming.
 AUDIT_LIMIT: Final = 2_000
-#: Entries over the limit before the oldest are removed, so that not every append lists.
+#: Appends between two trims, so that not every append has to list all keys.
 _TRIM_INTERVAL: Final = 100
 _MAX_WRITE_ATTEMPTS: Final = 4
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the trail."""
+    """One recorded action."""
 
-    #: Milliseconds since 1970.
+    #: Wall-clock time of the action, in milliseconds since 1970-01-01 UTC.
     wall: int
-    #: Unique name of the entry: the submission's id, or the order's.
+    #: Unique id: that of the submission or of the order.
     id: str
-    #: Operator, or instance for what the system did by itself.
+    #: Operator, or the instance for automatic actions.
     who: str
     #: ``submission``, ``map`` or ``slot``.
     action: str
-    #: Service or group concerned; empty when it is the fleet.
+    #: Affected service or group; empty for the whole fleet.
     subject: str = ""
-    #: Generation or number before and after.
+    #: Configuration generation or map number before and after the action.
     before: int = 0
     after: int = 0
-    #: Files or experts changed.
+    #: Changed files or experts.
     changed: Annotated[list[str], Meta(max_length=1_000)] = []
     #: ``accepted``, ``refused``, ``done`` or ``failed``.
     outcome: str
-    #: Why, in a sentence.
+    #: Reason, as one sentence.
     why: str = ""
 
 
 class AuditTrail:
-    """Appends to and reads the trail."""
+    """Reads and writes the audit trail."""
 
     def __init__(self, platform: Platform, limit: int = AUDIT_LIMIT) -> None:
         self._platform = platform
@@ -54,10 +54,10 @@
         self._appended = 0
 
     def append(self, entry: AuditEntry) -> bool:
-        """Add ``entry``; false when the platform gave no answer.
+        """Add ``entry``; return false if the platform did not respond.
 
-        The key is the entry's own, so a conflict means that an earlier write took
-        effect though its answer was lost.
+        The key is unique to the entry, so a conflict means that an earlier attempt succeeded but
+        its response was lost.
         """
         key = f"{_PREFIX}{entry.wall:015d}-{entry.id}"
         data = msgspec.json.encode(entry)
@@ -71,7 +71,7 @@
         return written
 
     def read(self, since: int = 0, subject: str = "") -> list[AuditEntry] | Unavailable:
-        """Return entries from ``since`` on, oldest first."""
+        """Return entries from ``since`` on, oldest first, optionally only those of ``subject``."""
         keys = self._platform.list_keys(_PREFIX)
         if isinstance(keys, Unavailable):
             return keys
--- a/src/canvasyoke/state/_config.py
+++ b/src/canvasyoke/state/_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration as the processes use it, built from whole files."""
+"""Fleet configuration built from parsed configuration files."""
 
 from __future__ import annotations
 
@@ -20,23 +20,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How one request of a service is treated."""
+    """Handling of a request to a service."""
 
-    #: Whether the request may run twice without harm.
+    #: Whether the request can safely be executed more than once.
     repeatable: bool
-    #: Milliseconds a caller waits when it does not say.
+    #: Default deadline in milliseconds, if the caller sets none.
     deadline: int
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A pool of engines behind one name."""
+    """A named pool of engines."""
 
     name: str
     model: ServiceModel
 
     def route(self, method: str, path: str) -> Route:
-        """Return how ``method`` on ``path`` (below the service) is treated."""
+        """Return the handling of ``method`` on ``path``, which is relative to the service.
+
+        The first matching route applies. Without one, only safe methods are repeatable.
+        """
         for route in self.model.routes:
             if path.startswith(route.path) and (not route.methods or method in route.methods):
                 return Route(route.repeatable, route.deadline_ms or self.model.deadline_ms)
@@ -44,7 +47,7 @@
 
     @property
     def accepts_non_repeatable(self) -> bool:
-        """Tell whether some of its requests must not run twice."""
+        """Whether some requests to the service must not be executed more than once."""
         return self.model.kind == "plain" or any(not r.repeatable for r in self.model.routes)
 
 
@@ -64,7 +67,7 @@
     model: OrganisationModel
 
     def may_call(self, service: str) -> bool:
-        """Tell whether it may call ``service``."""
+        """Return whether the organisation is allowed to call ``service``."""
         return not self.model.services or service in self.model.services
 
 
@@ -74,30 +77,30 @@
 
     name: str
     model: PlacementModel
-    #: Instance name of each rank, in order of rank.
+    #: Instance names ordered by rank.
     instances: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """One generation of the configuration; never changed once built."""
+    """One immutable generation of the configuration."""
 
-    #: Number of the generation; 0 before any is known.
+    #: Generation number; 0 before a configuration has been loaded.
     generation: int = 0
     services: Mapping[str, Service] = field(default_factory=dict)
     engines: Mapping[str, Engine] = field(default_factory=dict)
     organisations: Mapping[str, Organisation] = field(default_factory=dict)
     groups: Mapping[str, Group] = field(default_factory=dict)
-    #: Organisations by the SHA-256 of their token.
+    #: Organisations by SHA-256 of their token.
     tokens: Mapping[str, Organisation] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class ReferenceFault:
-    """Something wrong that only shows when the files are seen together."""
+    """An inconsistency found when all files are checked together."""
 
     file: str
-    #: Section, name and field, such as ``("engines", "ink-1", "service")``.
+    #: Section, name and optionally field, such as ``("engines", "ink-1", "service")``.
     path: tuple[str, ...]
     expected: str
 
@@ -105,7 +108,7 @@
 def build_config(
     generation: int, files: Mapping[str, FileModel]
 ) -> FleetConfig | list[ReferenceFault]:
-    """Return the configuration that ``files`` make together, or all faults."""
+    """Merge ``files`` into a configuration; return all faults if they are inconsistent."""
     checker = _Checker(files)
     checker.check()
     if checker.faults:
@@ -127,7 +130,7 @@
 
 
 class _Checker:
-    """Merges files and collects what does not fit together."""
+    """Merges files and collects inconsistencies between them."""
 
     def __init__(self, files: Mapping[str, FileModel]) -> None:
         self.services: dict[str, ServiceModel] = {}
@@ -158,7 +161,7 @@
         self.faults.append(ReferenceFault(file, path, expected))
 
     def check(self) -> None:
-        """Check every reference between the parts."""
+        """Check all references between sections."""
         self._check_engines()
         self._check_organisations()
         self._check_placement()
--- a/src/canvasyoke/state/_document.py
+++ b/src/canvasyoke/state/_document.py
@@ -1,4 +1,4 @@
-"""YAML text as plain values that remember the line each came from."""
+"""YAML parsing that records the line number of each value."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 import yaml
 
-#: Keys and indices that lead from the top of a document to a value.
+#: Keys and indices from the root of a document to a value.
 Path: TypeAlias = tuple[str | int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong with a file."""
+    """An error at a position in a file."""
 
-    #: File as the operator named it.
+    #: File path as given by the operator.
     file: str
-    #: Line of the value, from 1.
+    #: Line number of the value, starting at 1.
     line: int
-    #: Where in the document, such as ``services.inkmodel.kind``.
+    #: Path in the document, such as ``services.inkmodel.kind``.
     path: str
-    #: What was expected, and what stood there.
+    #: Description of the expected and the actual value.
     expected: str
 
     def __str__(self) -> str:
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """The values of one file and where they stand."""
+    """Parsed values of one file with their line numbers."""
 
     file: str
     value: Any
     lines: dict[Path, int]
 
     def fault(self, path: Path, expected: str) -> Fault:
-        """Return a fault at ``path``, with the line of the nearest value that exists."""
+        """Return a fault at ``path``, with the line of its nearest existing ancestor."""
         nearest = path
         while nearest and nearest not in self.lines:
             nearest = nearest[:-1]
@@ -48,7 +48,7 @@
 
 
 def format_path(path: Path) -> str:
-    """Return ``path`` as people write it: ``engines.ink-1.slots`` or ``routes[0]``."""
+    """Return ``path`` in dotted notation, such as ``engines.ink-1.slots`` or ``routes[0]``."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
@@ -56,7 +56,7 @@
 
 
 def parse_document(text: str, file: str) -> Document | list[Fault]:
-    """Return the document in ``text``, or every fault that keeps it from being one."""
+    """Parse ``text`` as YAML; return all syntax errors and duplicate keys if there are any."""
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
     except yaml.MarkedYAMLError as exc:
@@ -70,7 +70,7 @@
 
 
 class _DocumentBuilder:
-    """Turns nodes into values, noting lines and keys that stand twice."""
+    """Builds plain values from YAML nodes; records line numbers and duplicate keys."""
 
     def __init__(self, file: str) -> None:
         self.lines: dict[Path, int] = {}
@@ -79,7 +79,7 @@
         self._scalar_loader = yaml.SafeLoader("")
 
     def build(self, node: yaml.Node, path: Path) -> Any:
-        """Return the value of ``node``."""
+        """Return the plain value of ``node``."""
         self.lines.setdefault(path, node.start_mark.line + 1)
         if isinstance(node, yaml.MappingNode):
             return self._build_mapping(node, path)
--- a/src/canvasyoke/state/_fleet_store.py
+++ b/src/canvasyoke/state/_fleet_store.py
@@ -1,8 +1,8 @@
-"""The store of a platform that lists backends and configuration as objects.
+"""Interface to a platform store that holds backends and configuration as objects.
 
-Adapters register under a name. All calls return values; an adapter raises nothing.
-Positions are those of the store as a whole, so a watch of one kind can be continued
-from the position at which a list of that kind was taken.
+Adapters register under a name. They report errors as return values and do not raise exceptions.
+Positions count changes of the whole store, so a watch of one kind of object can start from the
+position of a list of that kind.
 """
 
 from __future__ import annotations
@@ -19,13 +19,12 @@
 from canvasyoke.state._routing_table import RoutingTable
 from canvasyoke.state._store_position import StorePosition
 
-#: Milliseconds within which an answer that does not wait for anything is expected. The
-#: store answers in 4 ms, and in fifty times that when it is slow.
+#: Default timeout in milliseconds of calls other than watches.
 CALL_TIMEOUT: Final = 2 * SECOND
 
 
 class EndpointState(enum.Enum):
-    """What a backend says of itself in the store."""
+    """State that a backend publishes in the store."""
 
     READY = enum.auto()
     LEAVING = enum.auto()
@@ -33,25 +32,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One run of an engine or of a plain service's server."""
+    """One run of a backend, which is an engine or a server of a plain service."""
 
-    #: Name of its entry. A restart may have the same.
+    #: Name of its store entry. It can be reused after a restart.
     id: str
     service: str
-    #: ``IP:PORT``; after the end of this run another service's server may get it.
+    #: ``IP:PORT``. It can be reassigned to a backend of another service after this run.
     address: str
     domain: str
-    #: Requests that it works on at once.
+    #: Maximum number of concurrent requests.
     slots: int
     state: EndpointState
-    #: Position in the store's history at which this came to be.
+    #: Store position of this version of the entry.
     position: StorePosition = 0
-    #: Its start by its own clock, in milliseconds since 1970-01-01 UTC; 0 if it does not
-    #: say. Only whether two are the same counts: clocks go back.
+    #: Start time by the backend's clock, in milliseconds since 1970-01-01 UTC; 0 if unknown.
+    #: It identifies a run and must not be used for ordering, because clocks can be set back.
     started: int = 0
-    #: Name under which all that is seen of this run is kept. A restart under the same name
-    #: knows nothing of before, and nothing that was seen before says anything of it. Worked
-    #: out once: each choice among backends asks for it several times a backend.
+    #: Identifier of this run. Observations are stored per run, because those of an earlier run
+    #: with the same name do not apply after a restart. Computed once, since backend selection
+    #: reads it often.
     run: str = field(init=False, compare=False, default="")
 
     def __post_init__(self) -> None:
@@ -61,30 +60,30 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointGone:
-    """An entry that names no backend: it was removed, or it cannot be read."""
+    """A store entry that describes no backend: it was removed or is invalid."""
 
-    #: Name of the entry; empty when not even that can be read.
+    #: Name of the entry; empty if it cannot be decoded.
     id: str
-    #: Position in the store's history at which this came to be, or a later one before which
-    #: nothing else is known of the entry.
+    #: Store position of the removal or invalid version, or a later position if no other change of
+    #: the entry is known before that.
     position: StorePosition
-    #: Why the entry that stands there cannot be read; empty when it was removed.
+    #: Why the entry is invalid; empty if it was removed.
     fault: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """All backends in the store at one revision."""
+    """All backends in the store at one position."""
 
     endpoints: tuple[Endpoint, ...]
     position: StorePosition
-    #: Entries that name no backend, since others wrote them.
+    #: Invalid entries, which other writers to the store can create.
     unreadable: tuple[EndpointGone, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointChanges:
-    """What happened to backends between two revisions, in order."""
+    """Changes of backends between two store positions, in order."""
 
     changes: tuple[Endpoint | EndpointGone, ...]
     position: StorePosition
@@ -92,11 +91,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRead:
-    """The configuration at one revision of the store."""
+    """The configuration at one store position."""
 
     table: RoutingTable
     position: StorePosition
-    #: The document that the table was built from, to pass on to other processes.
+    #: Source document of the table, for forwarding to other processes.
     document: bytes
 
 
@@ -109,15 +108,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The store does not have what came after the position asked for: list again.
+    """The store no longer has the changes after the requested position; a new list is needed.
 
-    It forgot its history, or it has come back from a copy since.
+    The store has discarded its history or was restored from a backup.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Unusable:
-    """The store answered with something that cannot be read."""
+    """The store returned invalid data."""
 
     detail: str
 
@@ -128,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """An object of the system's own in the store."""
+    """An object that canvasyoke itself keeps in the store."""
 
     name: str
     position: StorePosition
@@ -136,21 +135,21 @@
 
 
 class FleetStore(ABC):
-    """What entries and rank processes ask of the platform's store."""
+    """Store operations used by entries and rank processes. Times are in milliseconds."""
 
     @abstractmethod
     def endpoints(self, timeout: int = CALL_TIMEOUT) -> EndpointList | Unavailable | Unusable:
-        """Return every backend; wait up to ``timeout`` milliseconds for each answer."""
+        """Return all backends; ``timeout`` applies to each request to the store."""
 
     @abstractmethod
     def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointWatchResult:
-        """Wait up to ``wait`` milliseconds for changes after position ``after``."""
+        """Wait up to ``wait`` milliseconds for changes of backends after position ``after``."""
 
     @abstractmethod
     def table(self, timeout: int = CALL_TIMEOUT) -> TableWatchResult:
-        """Return the configuration; ``NoChange`` when the store holds none yet.
+        """Return the configuration, or ``NoChange`` if the store has none yet.
 
-        Waits up to ``timeout`` milliseconds for each answer.
+        ``timeout`` applies to each request to the store.
         """
 
     @abstractmethod
@@ -159,34 +158,34 @@
 
     @abstractmethod
     def parse_table(self, document: bytes) -> RoutingTable | Unusable:
-        """Return the table that a document passed on by another process holds."""
+        """Parse a configuration document that another process forwarded."""
 
     @abstractmethod
     def notes(self, kind: str, allow_stale: bool = False) -> list[Note] | Unavailable | Unusable:
-        """Return the system's own objects of ``kind``.
+        """Return all notes of ``kind``.
 
-        A list that may be seconds old is cheaper for the store.
+        With ``allow_stale`` the list can be seconds old, which is cheaper for the store.
         """
 
     @abstractmethod
     def note(
         self, kind: str, name: str, allow_stale: bool = False
     ) -> Note | Unavailable | Unusable | None:
-        """Return one object of the system's own; ``None`` where there is none.
+        """Return one note, or ``None`` if it does not exist.
 
-        An answer that may be seconds old is cheaper for the store.
+        With ``allow_stale`` the note can be seconds old, which is cheaper for the store.
         """
 
     @abstractmethod
     def put_note(self, kind: str, name: str, body: bytes) -> Note | Unavailable | Unusable:
-        """Create or replace an object; its position is above all earlier ones."""
+        """Create or replace a note; its new position is higher than all earlier ones."""
 
     @abstractmethod
     def create_note(self, kind: str, name: str, body: bytes) -> Note | Unavailable | Unusable:
-        """Create an object, or return the one that is there already."""
+        """Create a note, or return the existing one."""
 
 
-#: Makes a store client for ``IP:PORT``.
+#: Creates a store client for ``IP:PORT``.
 FleetStoreFactory: TypeAlias = Callable[[str], FleetStore]
 
 #: Store adapters by name.
--- a/src/canvasyoke/state/_keeper.py
+++ b/src/canvasyoke/state/_keeper.py
@@ -1,7 +1,7 @@
-"""Keeps the configuration in force in one process, whoever it hears of it from.
+"""The active configuration of a process, updated from the platform or from peers.
 
-A process adopts only a higher generation, so that neither a stale read nor a peer
-that was cut off for an hour can take it back.
+A process adopts only higher generations, so a stale read or an outdated peer cannot roll the
+configuration back.
 """
 
 from __future__ import annotations
@@ -20,13 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A root object and the contents it names, as bytes that can be passed on."""
+    """A root object and its referenced contents, serialized for forwarding to peers."""
 
     root: bytes
     contents: Mapping[str, bytes] = field(default_factory=dict)
 
     def parse(self) -> FleetConfig:
-        """Return the configuration; raises ``ValueError`` if a content is not its hash's."""
+        """Decode the configuration.
+
+        Raises ``ValueError`` if a content does not match its hash or the files are inconsistent.
+        """
         head = msgspec.json.decode(self.root, type=Root)
         models = {}
         for name, digest in head.files.items():
@@ -36,22 +39,22 @@
             models[name] = msgspec.json.decode(data, type=FileModel)
         built = build_config(head.generation, models)
         if isinstance(built, list):
-            raise ValueError(f"files do not fit together: {built[0].expected}")
+            raise ValueError(f"configuration files are inconsistent: {built[0].expected}")
         return built
 
 
 class ConfigView:
-    """What is in force now; read by any task, written by the keeper alone."""
+    """The active configuration. Any thread may read it; only the keeper writes it."""
 
     def __init__(self) -> None:
-        #: The configuration in force.
+        #: The active configuration.
         self.current = FleetConfig()
-        #: The same as bytes, to pass on; without content before any is known.
+        #: Its serialized form; ``None`` before a configuration has been loaded.
         self.snapshot: Snapshot | None = None
 
 
 class ConfigKeeper(CriticalActor):
-    """The one task that changes a process's :class:`ConfigView`."""
+    """Actor that updates the :class:`ConfigView` of a process."""
 
     def __init__(self, view: ConfigView, on_change: Callable[[FleetConfig], None]) -> None:
         super().__init__()
@@ -59,7 +62,7 @@
         self._on_change = on_change
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Put ``snapshot`` in force if it is newer; false if it is not or is damaged."""
+        """Activate ``snapshot``; return false if it is invalid or not newer."""
         try:
             config = snapshot.parse()
         except (ValueError, msgspec.DecodeError):
--- a/src/canvasyoke/state/_link_key.py
+++ b/src/canvasyoke/state/_link_key.py
@@ -1,9 +1,9 @@
-"""The key that processes of one role share, kept in the platform's store.
+"""Shared key that authenticates links between processes of one role.
 
-Ports between processes can be reached by strangers; the store cannot. The first process
-that finds no key makes one. A store that is back from an older copy may have lost it, and
-got another from a process that started then: whoever knows the key puts it back where there
-is none, and goes by the one that is there.
+The key is kept in the platform's store, which untrusted hosts cannot reach, unlike the ports
+between processes. The first process that finds no key creates one. A store that was restored from
+a backup can lack the key or hold a newer one: processes write the key that they know back if there
+is none, and otherwise use the stored key.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 def read_link_key(store: FleetStore, name: str, known: bytes = b"") -> bytes:
-    """Return the key called ``name``; empty while the store does not give it.
+    """Return the key ``name``; empty if the store is unavailable or the key is invalid.
 
-    Where there is none, ``known`` becomes it, or a new one if nothing is known.
+    If there is no key, store ``known``, or a new random key if ``known`` is empty.
     """
     body = msgspec.json.encode(known.hex() if known else secrets.token_hex(_KEY_BYTES))
     note = store.create_note(_KIND, name, body)
--- a/src/canvasyoke/state/_models.py
+++ b/src/canvasyoke/state/_models.py
@@ -1,7 +1,7 @@
-"""Models of a configuration file; the reference page is generated from them.
+"""Models of configuration files.
 
-Each field's type carries its bounds and its description, so that the check, the
-page and the program cannot disagree.
+The type of each field includes its bounds and description, which validation and the generated
+reference page use.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class _Model(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What all models of a file share."""
+    """Base class of configuration file models."""
 
 
 class RouteModel(_Model, frozen=True, kw_only=True):
@@ -147,8 +147,8 @@
     )
 
     def __post_init__(self) -> None:
-        """Refuse names that could not stand in a path or a metric label."""
+        """Reject names that are not valid in URL paths and metric labels."""
         for part in (self.services, self.engines, self.organisations, self.placement):
             for name in part:
                 if _NAME.fullmatch(name) is None:
-                    raise ValueError(f"{name!r} is not a name: use a-z, 0-9 and -")
+                    raise ValueError(f"{name!r} is not a valid name: use a-z, 0-9 and -")
--- a/src/canvasyoke/state/_notes.py
+++ b/src/canvasyoke/state/_notes.py
@@ -1,6 +1,7 @@
-"""The system's own notes in the platform's store, each read alone.
+"""Decoding of notes, the objects that canvasyoke itself keeps in the platform's store.
 
-Others may write there too: a note that cannot be read tells nothing and stops nobody.
+Other writers can create notes too, so each note is decoded separately and an invalid one does not
+affect the others.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from canvasyoke.state._fleet_store import Note, Unusable
 
-#: Where a process or an engine listens, as ``IP:PORT``.
+#: Address on which a process or an engine listens, as ``IP:PORT``.
 SocketAddress: TypeAlias = Annotated[
     str, msgspec.Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")
 ]
@@ -19,7 +20,7 @@
 
 
 def read_note(note: Note, kind: type[NoteT]) -> NoteT | Unusable:
-    """Return what a note tells, or why it cannot be read."""
+    """Decode the body of ``note`` as ``kind``; return the error if it is invalid."""
     try:
         return msgspec.json.decode(note.body, type=kind)
     except (msgspec.MsgspecError, RecursionError) as exc:
--- a/src/canvasyoke/state/_platform.py
+++ b/src/canvasyoke/state/_platform.py
@@ -1,7 +1,7 @@
-"""The platform as the system needs it: an object API and an instance list.
+"""Platform interface: a versioned object API and an instance list.
 
-Adapters register under a name, so that a user's own client plugs in without a
-change to any decision. All calls return values; an adapter raises nothing.
+Adapters register under a name, so that other platform clients can be plugged in. They report
+errors as return values and do not raise exceptions.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """An object and its version; versions of one object only grow."""
+    """An object and its version, which increases with each write."""
 
     key: str
     version: int
@@ -26,42 +26,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Absent:
-    """There is no such object."""
+    """The object does not exist."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """A conditional write took effect."""
+    """A conditional write succeeded."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A conditional write met another version; it did not take effect."""
+    """A conditional write failed because the object has another version."""
 
-    #: Version there is now; 0 when the object does not exist.
+    #: Current version; 0 if the object does not exist.
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """A watch ended without a newer version."""
+    """A watch timed out without a newer version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The platform gave no answer."""
+    """The call failed: no response, or one that cannot be used."""
 
     detail: str
-    #: For a write: whether it may have taken effect all the same.
+    #: Whether a write may have succeeded despite the error.
     ambiguous: bool = False
 
 
 class InstanceState(enum.StrEnum):
-    """What the platform says of an instance."""
+    """State of an instance according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -69,13 +69,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """A line of the instance list."""
+    """An element of the instance list."""
 
     name: str
     #: ``entry`` or ``target``.
     role: str
     domain: str
-    #: Where the process there listens: links for a target, admin for an entry.
+    #: Listening address: the link port of a target, the admin port of an entry.
     address: str
     state: InstanceState
 
@@ -84,37 +84,37 @@
 WriteResult: TypeAlias = Written | Conflict | Unavailable
 WatchResult: TypeAlias = Found | Unchanged | Unavailable
 
-#: Expected version of an object that must not exist yet.
+#: Expected version that makes a write create a new object.
 CREATE: Final = 0
 
 
 class Platform(ABC):
-    """What the system asks of the platform. Times are in milliseconds."""
+    """Platform operations. Times are in milliseconds."""
 
     @abstractmethod
     def read(self, key: str) -> ReadResult:
-        """Return the object under ``key``; it may lag behind the newest write."""
+        """Return the object under ``key``; the result can be stale."""
 
     @abstractmethod
     def write(self, key: str, value: bytes, expected: int) -> WriteResult:
-        """Write if the object's version is ``expected``; :data:`CREATE` to create."""
+        """Write if the object's version is ``expected``; use :data:`CREATE` to create it."""
 
     @abstractmethod
     def delete(self, key: str) -> WriteResult:
-        """Remove the object under ``key``; removing an absent one succeeds."""
+        """Delete the object under ``key``; succeeds if it does not exist."""
 
     @abstractmethod
     def list_keys(self, prefix: str) -> list[str] | Unavailable:
-        """Return the keys that begin with ``prefix``, in order."""
+        """Return the sorted keys that start with ``prefix``."""
 
     @abstractmethod
     def watch(self, key: str, after: int, timeout: int) -> WatchResult:
-        """Return the object once its version is above ``after``, or time is up."""
+        """Wait until the object has a version above ``after``, for up to ``timeout``."""
 
     @abstractmethod
     def instances(self) -> list[Instance] | Unavailable:
-        """Return the instance list; it lags."""
+        """Return the instance list, which can be stale."""
 
 
-#: Adapters by name; each is called with the platform's address.
+#: Adapter factories by name, called with the platform's address.
 PLATFORMS: Registry[Callable[[str], Platform]] = Registry("platform adapter")
--- a/src/canvasyoke/state/_platform_http.py
+++ b/src/canvasyoke/state/_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform met over HTTP with JSON, by urllib3."""
+"""Platform adapter for HTTP with JSON, based on urllib3."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @PLATFORMS.register("http-json")
 class HttpPlatform(Platform):
-    """``/objects/KEY`` with versions in ``X-Object-Version``, and ``/instances``."""
+    """Client of ``/objects/KEY``, with versions in ``X-Object-Version``, and ``/instances``."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
@@ -75,14 +75,14 @@
         return Unavailable(f"status {response.status}", ambiguous=True)
 
     def delete(self, key: str) -> WriteResult:
-        """Remove the object under ``key``."""
+        """Delete the object under ``key``."""
         response = self._call("DELETE", _object_path(key))
         if isinstance(response, Unavailable):
             return response
         return Written(0)
 
     def list_keys(self, prefix: str) -> list[str] | Unavailable:
-        """Return the keys that begin with ``prefix``."""
+        """Return the keys that start with ``prefix``."""
         return self._get_json(f"/keys?prefix={quote(prefix, safe='')}", list[str])
 
     def watch(self, key: str, after: int, timeout: int) -> WatchResult:
--- a/src/canvasyoke/state/_root.py
+++ b/src/canvasyoke/state/_root.py
@@ -1,4 +1,4 @@
-"""The root object: which files are in force, and what the last changes were."""
+"""The root object, which lists the active files and the most recent changes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """One generation in the root's history."""
+    """The change that created one generation."""
 
     generation: int
     submission: str
@@ -19,16 +19,16 @@
 
 
 class Root(msgspec.Struct, frozen=True, kw_only=True):
-    """The root object: which files are in force."""
+    """The active files, as names with content hashes, and recent changes."""
 
     generation: int
     files: Annotated[dict[str, str], Meta(max_length=1_000)]
     history: list[Change] = []
 
     def find(self, submission: str) -> Change | None:
-        """Return the generation that ``submission`` made, if it is recent."""
+        """Return the change made by ``submission`` if it is in the history."""
         return next((c for c in self.history if c.submission == submission), None)
 
     def since(self, generation: int) -> list[Change]:
-        """Return the recent changes after ``generation``."""
+        """Return the changes in the history after ``generation``."""
         return [c for c in self.history if c.generation > generation]
--- a/src/canvasyoke/state/_routing_table.py
+++ b/src/canvasyoke/state/_routing_table.py
@@ -1,7 +1,7 @@
-"""What the operator has put in force, as an entry that calls backends itself uses it.
+"""Routing table of entries that call backends directly.
 
-A table is built whole from one version of the configuration and never changed, so a
-request that picked its route from one table is served by that table to its end.
+A table is immutable and built from one version of the configuration. A request uses the table from
+which its route was selected until it completes.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 
 class Repeatability(enum.Enum):
-    """How often a request of a route may run."""
+    """How often a request may be executed."""
 
-    #: It may run any number of times.
+    #: Any number of times.
     SAFE = enum.auto()
-    #: It may run once at the most.
+    #: At most once.
     ONCE = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service that takes a part of a route's requests."""
+    """Weighted share of a route's requests that a service receives."""
 
     service: str
     weight: int
@@ -30,36 +30,36 @@
 
 @dataclass(frozen=True, slots=True)
 class TableRoute:
-    """Where requests with one host and path prefix go, and under which limits."""
+    """Services and limits for requests with one host and path prefix."""
 
     name: str
     host: str
-    #: Begins and ends with a slash.
+    #: Starts and ends with a slash.
     path_prefix: str
-    #: Services that take the requests, by weight; one or more.
+    #: Weighted services that receive the requests; at least one.
     shares: tuple[ServiceShare, ...]
     repeatability: Repeatability
-    #: Whether the answer is a stream of numbered events.
+    #: Whether the response is a stream of numbered events.
     is_stream: bool
-    #: Whether another backend can go on where a stream broke off.
+    #: Whether another backend can resume an interrupted stream.
     resumable: bool
-    #: Milliseconds that a request may be held.
+    #: Request timeout in milliseconds.
     timeout: int
-    #: Milliseconds within which an answer is on time.
+    #: Latency objective in milliseconds.
     objective: int
     #: 0 is the most urgent.
     priority: int
-    #: Backends that one request may be sent to.
+    #: Maximum number of backends to which one request is sent.
     max_attempts: int
-    #: Whether a request needs no API key.
+    #: Whether requests are accepted without an API key.
     is_anonymous: bool
-    #: Longest time between two events of a stream, in milliseconds, with which its answer
-    #: is still on time; 0 when the route states none.
+    #: Objective in milliseconds for the longest interval between two events of a stream; 0 for
+    #: none.
     longest_pause: int = 0
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request that may have run can be sent again."""
+        """Whether a request that may have been executed can be retried."""
         if self.is_stream:
             return self.resumable
         return self.repeatability is Repeatability.SAFE
@@ -67,33 +67,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RankGeometry:
-    """The shape of a service's rank groups, for those that plan expert maps."""
+    """Dimensions of a service's rank groups, used to plan expert maps."""
 
-    #: Layers that are placed independently of each other.
+    #: Number of layers, whose experts are placed independently.
     layers: int
     experts: int
-    #: Experts that a rank holds in a layer at the most.
+    #: Maximum number of experts per rank and layer.
     capacity: int
-    #: Experts new to a rank in a layer that one change may bring.
+    #: Maximum number of experts that one change adds per rank and layer.
     max_new_experts: int
-    #: Milliseconds that a rank needs to copy one expert.
+    #: Time in milliseconds in which a rank copies one expert.
     copy_time: float
 
 
 @dataclass(frozen=True, slots=True)
 class TableService:
-    """A service that routes name."""
+    """A service that routes refer to."""
 
     name: str
-    #: Connections that one backend takes from all callers together; 0 when unknown.
+    #: Maximum number of connections per backend, over all clients; 0 if unknown.
     max_connections: int
-    #: Shape of its rank groups; ``None`` for a plain service.
+    #: Dimensions of its rank groups; ``None`` for a plain service.
     geometry: RankGeometry | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take. Times in milliseconds."""
+    """Size and time limits for receiving a request. Times are in milliseconds."""
 
     header_bytes: int
     body_bytes: int
@@ -101,7 +101,7 @@
     idle_time: int
 
 
-#: What holds before any configuration is known: generous, for nothing is served then.
+#: Limits before a configuration has been loaded. No requests are served in that state.
 DEFAULT_LIMITS = CallerLimits(
     header_bytes=64 << 10, body_bytes=16 << 20, header_time=10_000, idle_time=60_000
 )
@@ -109,29 +109,29 @@
 
 @dataclass(frozen=True, slots=True)
 class TableOrganisation:
-    """An organisation, found by one of its API keys."""
+    """An organisation, which callers identify by one of its API keys."""
 
     name: str
-    #: Goes before the route's priority; ``None`` when it has none of its own.
+    #: Overrides the route's priority; ``None`` if not set.
     priority: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of the configuration."""
+    """Routes, services, organisations and limits of one configuration version."""
 
-    #: 0 before any is known.
+    #: 0 before a configuration has been loaded.
     version: int = 0
     routes: tuple[TableRoute, ...] = ()
     services: Mapping[str, TableService] = field(default_factory=dict)
     organisations: Mapping[str, TableOrganisation] = field(default_factory=dict)
-    #: Whether the configuration knows organisations at all; without, no key is asked for.
+    #: Whether the configuration defines organisations. If not, no API key is required.
     has_organisations: bool = False
     limits: CallerLimits = DEFAULT_LIMITS
     _by_host: Mapping[str, tuple[TableRoute, ...]] = field(default_factory=dict, repr=False)
 
     def route_for(self, host: str, path: str) -> TableRoute | None:
-        """Return the route of ``host`` with the longest prefix of ``path``."""
+        """Return the route of ``host`` with the longest matching prefix of ``path``."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -139,7 +139,7 @@
 
 
 def index_routes(routes: tuple[TableRoute, ...]) -> Mapping[str, tuple[TableRoute, ...]]:
-    """Return the routes of each host, longest prefix first."""
+    """Group routes by host, longest prefix first."""
     by_host: dict[str, list[TableRoute]] = {}
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
--- a/src/canvasyoke/state/_settings.py
+++ b/src/canvasyoke/state/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: where it is, whom it talks to, how it logs."""
+"""Settings of a process: identity, addresses and logging."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _Model(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What all models of settings share."""
+    """Base class of settings models."""
 
 
 class LogSettings(_Model, frozen=True, kw_only=True):
@@ -101,7 +101,7 @@
         float, Meta(gt=0, description="Seconds over which retries are counted.")
     ] = 10.0
     retry_slack: Annotated[
-        # Deployments scale it with their size, so it need not be whole.
+        # Deployments scale this value with their size, so it can be fractional.
         float,
         Meta(ge=0, description="Retries allowed in a window beyond the ratio, fleet-wide."),
     ] = 20
@@ -125,21 +125,21 @@
 
 
 class WatchedFile:
-    """Tells whether a file has been written since it was last asked about."""
+    """Detects changes of a file between calls."""
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._last_signature = self._read_signature()
 
     def has_changed(self) -> bool:
-        """Tell whether the file differs from what it was at the last call."""
+        """Return whether the file has changed since the previous call."""
         signature = self._read_signature()
         changed = signature is not None and signature != self._last_signature
         self._last_signature = signature or self._last_signature
         return changed
 
     def _read_signature(self) -> tuple[int, int, int] | None:
-        """Return what changes with each write; ``None`` while there is no file."""
+        """Return modification time, size and inode, or ``None`` if the file is missing."""
         try:
             stat = os.stat(self._path)
         except OSError:
@@ -151,7 +151,7 @@
 
 
 def load_settings(path: str, model: type[SettingsT]) -> SettingsT | list[Fault]:
-    """Return the settings in the file at ``path``, or all its faults."""
+    """Load and validate the settings file at ``path``; return all faults if it is invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
--- a/src/canvasyoke/state/_store_position.py
+++ b/src/canvasyoke/state/_store_position.py
@@ -1,41 +1,41 @@
-"""Where in the store's history something came to be.
+"""Positions in the store's history.
 
-The store counts its changes, and the number of a change tells what is newer. It may come
-back from an older copy of itself: the count then goes back and is given out again, and the
-store says so by an era that rises each time. Order is told by the era first.
+The store numbers its changes with increasing revisions. Restoring it from a backup resets the
+revision, so that revisions are reused; the store then increments its era. Positions are ordered by
+era first and revision second.
 
-A position is one number, with the era above the revision. So it compares at the cost of a
-number, entries of a release that knew revisions alone order it rightly, and a store without
-eras gives the revisions themselves.
+A position packs both into one integer, with the era in the high bits. Positions therefore compare
+as integers, and those of era 0 equal the revision, which keeps them compatible with releases and
+stores without eras.
 """
 
 from __future__ import annotations
 
 from typing import Final, TypeAlias
 
-#: Bits for the revision: at the 400 writes a second that the store takes, 87 years an era.
+#: Bits for the revision; at 400 writes per second they suffice for 87 years per era.
 _REVISION_BITS: Final = 40
 
-#: An era and a revision of the store; made and taken apart here alone.
+#: A packed era and revision. Only this module encodes and decodes it.
 StorePosition: TypeAlias = int
 
 
 def store_position(era: int, revision: int) -> StorePosition:
-    """Return the position of a revision in an era; both are 0 or more."""
+    """Pack an era and a revision, both non-negative, into a position."""
     return (era << _REVISION_BITS) + revision
 
 
 def era_of(position: StorePosition) -> int:
-    """Return how many times the store had come back from a copy."""
+    """Return the era: how many times the store had been restored from a backup."""
     return position >> _REVISION_BITS
 
 
 def revision_of(position: StorePosition) -> int:
-    """Return the store's own count of changes within the era."""
+    """Return the revision within the era."""
     return position & ((1 << _REVISION_BITS) - 1)
 
 
 def format_position(position: StorePosition) -> str:
-    """Return a position as people read it: ``ERA.REVISION``, or the revision without eras."""
+    """Format a position as ``ERA.REVISION``, or as ``REVISION`` in era 0."""
     era, revision = era_of(position), revision_of(position)
     return f"{era}.{revision}" if era else str(revision)
--- a/src/canvasyoke/state/_submission.py
+++ b/src/canvasyoke/state/_submission.py
@@ -1,10 +1,9 @@
-"""Submitting configuration files: all of them in force, or none.
+"""Atomic submission of configuration files.
 
-Files are immutable objects named by their hash; one small root names the files
-in force. A submission writes its files first and then replaces the root by one
-conditional write, which is the only moment at which anything changes. The root
-carries the ids of recent submissions, so that a write whose answer was lost can
-be told from one that never took effect.
+Files are immutable objects named by their hash, and a root object lists the active files. A
+submission first writes its files and then replaces the root with a single conditional write. The
+root includes the ids of recent submissions, so that a write whose response was lost can be
+distinguished from one that failed.
 """
 
 from __future__ import annotations
@@ -43,40 +42,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What an operator wants in force."""
+    """Configuration files that an operator wants to activate or remove."""
 
-    #: Unique id, also that of its line in the audit trail.
+    #: Unique id, also used for its entry in the audit trail.
     id: str
     operator: str
-    #: Generation the files were written against.
+    #: Generation on which the files are based.
     base: int
     files: Mapping[str, FileModel]
-    #: Names of files to take out of force.
+    #: Names of files to remove.
     removed: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The submission is in force as this generation."""
+    """The submission is active as this generation."""
 
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The submission is not in force and will not be."""
+    """The submission was rejected and has no effect."""
 
     detail: str
-    #: Generation in force.
+    #: Active generation.
     generation: int = 0
-    #: What changed since the submission's base.
+    #: Changes since the submission's base.
     changes: tuple[Change, ...] = ()
     faults: tuple[ReferenceFault, ...] = field(default_factory=tuple)
 
 
 @dataclass(frozen=True, slots=True)
 class Ambiguous:
-    """The platform could not be read in time; the same submission may be sent again."""
+    """The result is unknown after a timeout; submitting again with the same id is safe."""
 
     detail: str
 
@@ -85,7 +84,7 @@
 
 
 def read_root(platform: Platform) -> Root | Absent | Unavailable:
-    """Return the root object that the platform holds."""
+    """Read the root object from the platform."""
     found = platform.read(ROOT_KEY)
     return _decode_root(found.value) if isinstance(found, Found) else found
 
@@ -93,7 +92,7 @@
 def load_snapshot(
     platform: Platform, root: bytes, known: Mapping[str, bytes]
 ) -> Snapshot | Unavailable:
-    """Return the snapshot that ``root`` names, reading only what is not ``known``."""
+    """Load the snapshot of ``root``, reading only contents that are not in ``known``."""
     contents = {}
     for digest in msgspec.json.decode(root, type=Root).files.values():
         if digest in known:
@@ -114,14 +113,14 @@
     sleep: Callable[[float], None] = time.sleep,
     rng: random.Random | None = None,
 ) -> SubmitResult:
-    """Put ``submission`` in force, or say why it is not."""
+    """Activate ``submission``; retry until it is accepted, rejected or timed out."""
     return _SubmitOperation(
         platform, submission, clock, timeout, sleep, rng or random.Random()
     ).run()
 
 
 class _SubmitOperation:
-    """One call of :func:`submit`."""
+    """State of one :func:`submit` call."""
 
     def __init__(
         self,
@@ -156,7 +155,7 @@
         self._backoff = min(self._backoff * 2, _MAX_BACKOFF)
 
     def _try_once(self) -> SubmitResult | Unavailable:
-        """Read the root, then write; a lost answer is settled by the next reading."""
+        """Read the root, then write; a retry detects a write whose response was lost."""
         found = self._platform.read(ROOT_KEY)
         if isinstance(found, Unavailable):
             return found
@@ -181,7 +180,7 @@
         return Rejected(detail, root.generation, tuple(root.since(base)))
 
     def _merge(self, root: Root) -> _MergedConfig | Rejected | Unavailable:
-        """Return the root and files that would be in force, checked as a whole."""
+        """Merge the submission into the active files and validate the result."""
         models: dict[str, FileModel] = {}
         for name, digest in root.files.items():
             if name in self._submission.files or name in self._submission.removed:
@@ -246,10 +245,10 @@
 
 
 def encode_file(model: FileModel) -> bytes:
-    """Return the bytes under which a file is kept: JSON with sorted keys."""
+    """Serialize a file as JSON with sorted keys, so that equal files have equal hashes."""
     return msgspec.json.encode(model, order="deterministic")
 
 
 def content_digest(data: bytes) -> str:
-    """Return the name of a content object."""
+    """Return the SHA-256 that names a content object."""
     return hashlib.sha256(data).hexdigest()
--- a/src/canvasyoke/state/_validate.py
+++ b/src/canvasyoke/state/_validate.py
@@ -1,7 +1,7 @@
-"""Checks plain values against msgspec models and reports every fault in one go.
+"""Validation of plain values against msgspec models that reports all faults at once.
 
-msgspec itself stops at the first fault. This walks a model's fields and lets
-msgspec convert each leaf, so that an operator mends a file in one round.
+msgspec stops at the first error. This module walks the fields of a model and converts each leaf
+with msgspec separately.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 def validate(document: Document, model: type[ModelT]) -> ModelT | list[Fault]:
-    """Return the model that ``document`` holds, or all its faults."""
+    """Convert ``document`` to ``model``; return all faults if it is invalid."""
     validator = _Validator(document)
     value = validator.convert(document.value, model, ())
     return validator.faults or value
 
 
 def check_file(text: str, file: str) -> FileModel | list[Fault]:
-    """Return the configuration file in ``text``, or all its faults."""
+    """Parse and validate a configuration file; return all faults if it is invalid."""
     document = parse_document(text, file)
     if isinstance(document, list):
         return document
@@ -37,7 +37,7 @@
         self._document = document
 
     def convert(self, value: Any, kind: Any, path: Path) -> Any:
-        """Return ``value`` as ``kind``; on a fault note it and return ``None``."""
+        """Convert ``value`` to ``kind``; on failure record a fault and return ``None``."""
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
             return self._convert_struct(value, kind, path)
         inner = get_args(kind)[0] if get_origin(kind) is Annotated else kind
--- a/src/canvasyoke/state/reference.py
+++ b/src/canvasyoke/state/reference.py
@@ -1,7 +1,7 @@
-"""Writes the reference pages from the models: ``python -m canvasyoke.state.reference``.
+"""Generator of the reference pages: ``python -m canvasyoke.state.reference PAGE``.
 
-The fields, their bounds, defaults and descriptions all come from the types, so the
-pages cannot fall behind the program; a test compares them.
+Fields, bounds, defaults and descriptions are taken from the models. A test verifies that the
+committed pages are up to date.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 
 def configuration_page() -> str:
-    """Return the reference of configuration files."""
+    """Return the reference page of configuration files."""
     return _CONFIGURATION_HEAD + _section(FileModel, "file", 2)
 
 
 def settings_page() -> str:
-    """Return the reference of settings."""
+    """Return the reference page of process settings."""
     models: dict[str, type[msgspec.Struct]] = {
         "entry": EntrySettings,
         "target": TargetSettings,
@@ -53,7 +53,7 @@
 
 
 def _section(model: type[msgspec.Struct], title: str, depth: int) -> str:
-    """Return one model as a table, and the models inside it below."""
+    """Render a model as a table, followed by its nested models."""
     doc = (model.__doc__ or "").strip().splitlines()[0]
     lines = ["", f"{'#' * min(depth, 4)} {title}", "", doc, ""]
     lines += ["| field | type | default | meaning |", "|---|---|---|---|"]
@@ -61,7 +61,7 @@
     for field in msgspec.structs.fields(model):
         kind, meta = _unwrap(field.type)
         text, nested = _describe(kind, meta)
-        # A field's own description comes after that of its type.
+        # The description of a field follows that of its type alias.
         meaning = next((m.description for m in reversed(meta) if m.description), "") or ""
         lines.append(f"| `{field.name}` | {text} | {_default(field)} | {meaning} |")
         if nested is not None:
@@ -71,7 +71,7 @@
 
 
 def _unwrap(kind: Any) -> tuple[Any, list[msgspec.Meta]]:
-    """Return a type without its annotations, and those, outermost first."""
+    """Return the unannotated type and its ``Meta`` annotations, outermost first."""
     meta: list[msgspec.Meta] = []
     while get_origin(kind) is Annotated:
         inner, *found = get_args(kind)
--- a/src/canvasyoke/state/tests/test_document.py
+++ b/src/canvasyoke/state/tests/test_document.py
@@ -60,7 +60,7 @@
         ("services: {ink: {kind: model}, ink: {kind: plain}}", "stands twice"),
         ("services: 3", "expected a mapping"),
         ("- 1", "expected a mapping"),
-        ("services: {Ink Model: {kind: model}}", "is not a name"),
+        ("services: {Ink Model: {kind: model}}", "is not a valid name"),
     ],
 )
 def test_invalid_files(text: str, expected: str) -> None:
--- a/src/canvasyoke/state/tests/test_notes.py
+++ b/src/canvasyoke/state/tests/test_notes.py
@@ -1,4 +1,4 @@
-"""Notes in the store as others may write them."""
+"""Decoding of valid and invalid notes."""
 
 from __future__ import annotations
 
--- a/src/canvasyoke/state/tests/test_platform_http.py
+++ b/src/canvasyoke/state/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapter against the platform stand-in, with every fault it has."""
+"""The HTTP adapter against the fake platform and its fault injection."""
 
 import json
 import threading
@@ -26,7 +26,7 @@
 
 @dataclass
 class AdapterHarness:
-    """A stand-in, an adapter, and a way to set faults."""
+    """A fake platform with fault injection, and an adapter connected to it."""
 
     address: str
     platform: HttpPlatform
--- a/src/canvasyoke/state/tests/test_settings.py
+++ b/src/canvasyoke/state/tests/test_settings.py
@@ -80,7 +80,7 @@
 adapter: objects
 """
 
-#: Figures that a deployment hands over, as whole numbers and as fractions.
+#: Retry settings as integers and as fractions, with the expected values.
 RETRY_SETTINGS = [
     ("retry_ratio", "0.2", 0.2),
     ("retry_ratio", "1", 1.0),
--- a/src/canvasyoke/state/tests/test_store_position.py
+++ b/src/canvasyoke/state/tests/test_store_position.py
@@ -1,4 +1,4 @@
-"""Positions order by the era first, and are the revisions themselves without eras."""
+"""Positions order by era first and equal the revision in era 0."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from canvasyoke.state import era_of, format_position, revision_of, store_position
 
-#: Era and revision, in order.
+#: Eras and revisions in ascending order.
 IN_ORDER = [(0, 0), (0, 122), (0, 1 << 39), (1, 0), (1, 6), (1, 122), (2, 1), (900, 0)]
 
 
