--- a/src/canvasyoke/cli/_main.py
+++ b/src/canvasyoke/cli/_main.py
@@ -27,7 +27,7 @@
         return 0 if arguments else USAGE
     name, rest = arguments[0], arguments[1:]
     if name not in COMMANDS.names():
-        return _usage_error(f"no command is called {name!r}; see canvasyoke --help")
+        return _usage_error(f"unknown command {name!r}; see canvasyoke --help")
     command = COMMANDS.get(name)
     if any(argument in ("-h", "--help") for argument in rest):
         print(_format_help(name, command))
@@ -84,7 +84,7 @@
         if name not in options or not word.startswith("--"):
             return f"unknown option {word}"
         if name in bound.options:
-            return f"option --{name} stands twice"
+            return f"option --{name} is given more than once"
         if not equals:
             next_argument = next(rest, None)
             if next_argument is None or next_argument.startswith("--"):
@@ -94,7 +94,7 @@
     if bound.positional and not accepts_files:
         return f"unexpected argument {bound.positional[0]!r}"
     if accepts_files and not bound.positional:
-        return "at least one FILE is needed"
+        return "at least one FILE is required"
     for name, parameter in options.items():
         if parameter.default is parameter.empty and name not in bound.options:
             return f"option --{name} is required"
@@ -106,7 +106,7 @@
     for name in COMMANDS.names():
         summary = (COMMANDS.get(name).__doc__ or "").strip().splitlines()[0]
         lines.append(f"  {name:<12}{summary}")
-    lines += ["", "canvasyoke COMMAND --help tells more. Exit codes: 0 done, 1 refused, 2 usage."]
+    lines += ["", "Details: canvasyoke COMMAND --help. Exit codes: 0 done, 1 refused, 2 usage."]
     return "\n".join(lines)
 
 
--- a/src/canvasyoke/cli/_operator.py
+++ b/src/canvasyoke/cli/_operator.py
@@ -110,7 +110,7 @@
     built = build_config(1, loaded.models)
     if isinstance(built, list):
         return _print_faults(_locate_faults(built, loaded.documents))
-    print(f"{len(loaded.models)} file(s) in order")
+    print(f"{len(loaded.models)} valid file(s)")
     return DONE
 
 
@@ -279,7 +279,11 @@
     entries = AuditTrail(platform).read(since, subject)
     root = read_root(platform)
     if isinstance(entries, Unavailable) or isinstance(root, Unavailable):
-        return entries if isinstance(entries, Unavailable) else Unavailable("no root")
+        return (
+            entries
+            if isinstance(entries, Unavailable)
+            else Unavailable("cannot read the root object")
+        )
     if not isinstance(root, Root):
         return entries
     known = {entry.id for entry in entries}
--- a/src/canvasyoke/state/_config.py
+++ b/src/canvasyoke/state/_config.py
@@ -151,7 +151,7 @@
         for name, value in values.items():
             first = self._defining_files.setdefault((section, name), file)
             if first != file:
-                expected = f"stands in {first} already"
+                expected = f"is already defined in {first}"
                 self.faults.append(ReferenceFault(file, (section, name), expected))
             merged[name] = value
 
@@ -181,7 +181,9 @@
                     self._add_fault("organisations", name, "services", f"no service {service!r}")
             first = first_by_token.setdefault(organisation.token_sha256, name)
             if first != name:
-                self._add_fault("organisations", name, "token_sha256", f"is also that of {first!r}")
+                self._add_fault(
+                    "organisations", name, "token_sha256", f"is already used by {first!r}"
+                )
 
     def _check_placement(self) -> None:
         for name, group in self.placement.items():
--- a/src/canvasyoke/state/_document.py
+++ b/src/canvasyoke/state/_document.py
@@ -61,9 +61,9 @@
         node = yaml.compose(text, Loader=yaml.SafeLoader)
     except yaml.MarkedYAMLError as exc:
         line = exc.problem_mark.line + 1 if exc.problem_mark else 1
-        return [Fault(file, line, "", f"not YAML: {exc.problem}")]
+        return [Fault(file, line, "", f"invalid YAML: {exc.problem}")]
     except yaml.YAMLError as exc:
-        return [Fault(file, 1, "", f"not YAML: {exc}")]
+        return [Fault(file, 1, "", f"invalid YAML: {exc}")]
     builder = _DocumentBuilder(file)
     value = {} if node is None else builder.build(node, ())
     return builder.faults or Document(file, value, builder.lines)
@@ -94,7 +94,7 @@
             key = str(key_node.value)
             if key in values:
                 self.faults.append(
-                    Fault(self._file, line, format_path((*path, key)), "stands twice")
+                    Fault(self._file, line, format_path((*path, key)), "duplicate key")
                 )
                 continue
             self.lines[(*path, key)] = line
