--- a/src/canvasyoke/observe/_line_writer.py
+++ b/src/canvasyoke/observe/_line_writer.py
@@ -15,7 +15,7 @@
 
 #: Maximum number of queued lines.
 _QUEUE_LIMIT: Final = 10_000
-#: Rate and capacity of the token bucket for lines that are not important.
+#: Refill rate and capacity of the token bucket that limits lines.
 _LINES_PER_SECOND: Final = 200
 _MAX_BURST: Final = 1_000
 
--- a/src/canvasyoke/state/_models.py
+++ b/src/canvasyoke/state/_models.py
@@ -25,16 +25,16 @@
 
 
 class RouteModel(_Model, frozen=True, kw_only=True):
-    """How requests under one path of a service are treated."""
+    """Handling of requests under one path of a service."""
 
     path: Annotated[str, Meta(pattern=r"^/", description="Prefix of the path below the service.")]
     methods: Annotated[
         list[Literal["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]],
-        Meta(description="Methods this entry is for; empty for all."),
+        Meta(description="HTTP methods to match; empty for all."),
     ] = []
     repeatable: Annotated[
         bool,
-        Meta(description="Whether a request may run twice without harm."),
+        Meta(description="Whether requests can safely be executed more than once."),
     ]
     deadline_ms: Annotated[
         Milliseconds | None, Meta(description="Overrides the service's deadline.")
@@ -42,33 +42,37 @@
 
 
 class ServiceModel(_Model, frozen=True, kw_only=True):
-    """A pool of engines that callers reach under ``/NAME/``."""
+    """A pool of engines that callers access under ``/NAME/``."""
 
     kind: Annotated[
         Literal["model", "plain"],
         Meta(description="`model` for engines that generate, `plain` for other services."),
     ]
     deadline_ms: Annotated[
-        Milliseconds, Meta(description="Time a caller waits when it does not say.")
+        Milliseconds, Meta(description="Default deadline if the caller sets none.")
     ] = 10_000
-    priority: Annotated[Urgency, Meta(description="Urgency when the caller does not say.")] = 3
+    priority: Annotated[Urgency, Meta(description="Default priority; 0 is the most urgent.")] = 3
     max_body_bytes: Annotated[
-        int, Meta(ge=0, le=8 << 20, description="Largest request body taken.")
+        int, Meta(ge=0, le=8 << 20, description="Maximum size of a request body.")
     ] = 1 << 20
     routes: Annotated[
         list[RouteModel],
         Meta(
-            description="First match counts; without one, GET, HEAD and OPTIONS are "
-            "repeatable and all else is not."
+            description="The first match applies; without one, GET, HEAD and OPTIONS are "
+            "repeatable and other methods are not."
         ),
     ] = []
     key_slots: Annotated[
         int,
-        Meta(ge=1, le=1_024, description="Slots over which non-repeatable keys are spread."),
+        Meta(
+            ge=1,
+            le=1_024,
+            description="Slots over which keys of non-repeatable requests are hashed.",
+        ),
     ] = 16
     answer_keep_ms: Annotated[
         Milliseconds,
-        Meta(description="How long the answer to a non-repeatable request is remembered."),
+        Meta(description="How long responses to non-repeatable requests are kept."),
     ] = 600_000
 
 
@@ -77,61 +81,63 @@
 
     service: Annotated[str, Meta(description="Service it belongs to.")]
     slots: Annotated[
-        int, Meta(ge=1, le=4_096, description="Requests that may run at the same time.")
+        int, Meta(ge=1, le=4_096, description="Maximum number of concurrent requests.")
     ] = 8
     queue: Annotated[
-        int, Meta(ge=0, le=65_536, description="Requests that may wait at the target.")
+        int, Meta(ge=0, le=65_536, description="Maximum number of queued requests at the target.")
     ] = 64
-    group: Annotated[str, Meta(description="Rank group it is part of; empty for none.")] = ""
+    group: Annotated[str, Meta(description="Rank group that it belongs to; empty for none.")] = ""
     rank: Annotated[int, Meta(ge=0, le=1_023, description="Its rank in the group.")] = 0
     checks_fences: Annotated[
-        bool, Meta(description="Whether it checks by itself who gives it an order.")
+        bool, Meta(description="Whether it validates the fences of orders itself.")
     ] = True
 
 
 class OrganisationModel(_Model, frozen=True, kw_only=True):
-    """A customer's organisation and what it may use."""
+    """A customer's organisation with its permissions and limits."""
 
     token_sha256: Annotated[
         Sha256, Meta(description="SHA-256 of its bearer token, in lower-case hex.")
     ]
     services: Annotated[list[str], Meta(description="Services it may call; empty for all.")] = []
     share: Annotated[
-        int, Meta(ge=1, le=1_000, description="Weight of its share when a target is contended.")
+        int, Meta(ge=1, le=1_000, description="Weight of its share of a contended target.")
     ] = 1
     ceiling: Annotated[
         int,
-        Meta(ge=0, le=1_000_000, description="Most requests at a target at once; 0 for no limit."),
+        Meta(
+            ge=0,
+            le=1_000_000,
+            description="Maximum number of concurrent requests per target; 0 for no limit.",
+        ),
     ] = 0
-    priority: Annotated[Urgency, Meta(description="Most urgent priority it may ask for.")] = 0
+    priority: Annotated[Urgency, Meta(description="Most urgent priority that it may request.")] = 0
 
 
 class PlacementModel(_Model, frozen=True, kw_only=True):
-    """A rank group and how its experts are placed."""
+    """A rank group and the placement of its experts."""
 
     service: Annotated[str, Meta(description="Service whose engines form the group.")]
     ranks: Annotated[int, Meta(ge=1, le=1_024, description="Ranks in the group.")]
-    experts: Annotated[int, Meta(ge=1, le=4_096, description="Experts in a layer.")]
+    experts: Annotated[int, Meta(ge=1, le=4_096, description="Experts per layer.")]
     layers: Annotated[int, Meta(ge=1, le=256, description="Layers with experts.")] = 1
     capacity: Annotated[
-        int, Meta(ge=1, le=4_096, description="Expert copies a rank can hold in a layer.")
+        int, Meta(ge=1, le=4_096, description="Maximum number of expert copies per rank and layer.")
     ]
     expert_bytes: Annotated[
-        int, Meta(ge=1, description="Weights of one expert in one layer, in bytes.")
+        int, Meta(ge=1, description="Size of the weights of one expert in one layer, in bytes.")
     ] = 1 << 20
     policy: Annotated[
         Literal["skew-first", "cost-first"],
-        Meta(
-            description="What weighs more: short steps (`skew-first`) or few moves (`cost-first`)."
-        ),
+        Meta(description="Objective: short steps (`skew-first`) or few moves (`cost-first`)."),
     ] = "skew-first"
     replan_ms: Annotated[
-        Milliseconds, Meta(description="Time between two looks at the experts' load.")
+        Milliseconds, Meta(description="Interval at which the load of the experts is evaluated.")
     ] = 2_000
 
 
 class FileModel(_Model, frozen=True, kw_only=True):
-    """One configuration file; all parts are optional."""
+    """One configuration file; all sections are optional."""
 
     services: Annotated[dict[str, ServiceModel], Meta(description="Services by name.")] = (
         msgspec.field(default_factory=dict)
--- a/src/canvasyoke/state/_settings.py
+++ b/src/canvasyoke/state/_settings.py
@@ -23,18 +23,17 @@
 
 
 class LogSettings(_Model, frozen=True, kw_only=True):
-    """How a process logs."""
+    """Logging of a process."""
 
     level: Annotated[
-        Literal["debug", "info", "warning", "error"], Meta(description="Lowest level written.")
+        Literal["debug", "info", "warning", "error"],
+        Meta(description="Minimum level of log records."),
     ] = "info"
-    format: Annotated[
-        Literal["text", "json"], Meta(description="Lines for people or for programs.")
-    ] = "text"
+    format: Annotated[Literal["text", "json"], Meta(description="Output format.")] = "text"
 
 
 class PlatformSettings(_Model, frozen=True, kw_only=True):
-    """Where the platform's object API and instance list are."""
+    """Access to the platform's object API and instance list."""
 
     address: Annotated[Address, Meta(description="Address of the platform.")]
     adapter: Annotated[str, Meta(description="Name of a registered adapter.")] = "http-json"
@@ -50,77 +49,82 @@
 class EntrySettings(_Model, frozen=True, kw_only=True):
     """Settings of an entry process."""
 
-    instance: Annotated[Name, Meta(description="Name of the instance, as in the list.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
-    http: Annotated[Address, Meta(description="Where callers are served.")]
+    instance: Annotated[Name, Meta(description="Name of the instance in the instance list.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
+    http: Annotated[Address, Meta(description="Listening address for callers.")]
     admin: Annotated[
-        Address, Meta(description="Where status and metrics are served, for operators only.")
+        Address, Meta(description="Listening address of status and metrics, for operators only.")
     ]
     link_key: Annotated[LinkKey, Meta(description="The fleet's link key: 32 bytes in hex.")]
     platform: PlatformSettings
     log: LogSettings = LogSettings()
-    streams: Annotated[int, Meta(ge=1, le=2_000, description="Requests held at the same time.")] = (
-        320
-    )
+    streams: Annotated[
+        int, Meta(ge=1, le=2_000, description="Maximum number of requests in progress.")
+    ] = 320
     seed: Annotated[
-        int, Meta(ge=0, description="Seed of random choices; 0 for one from the system.")
+        int, Meta(ge=0, description="Seed of the random number generator; 0 for a random seed.")
     ] = 0
 
 
 class TargetSettings(_Model, frozen=True, kw_only=True):
     """Settings of a target process."""
 
-    instance: Annotated[Name, Meta(description="Name of the instance, as in the list.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
+    instance: Annotated[Name, Meta(description="Name of the instance in the instance list.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
     service: Annotated[Name, Meta(description="Service that the backend belongs to.")]
-    listen: Annotated[Address, Meta(description="Where entries and other targets connect.")]
+    listen: Annotated[Address, Meta(description="Listening address for entries and other targets.")]
     backend: BackendSettings
     link_key: Annotated[LinkKey, Meta(description="The fleet's link key: 32 bytes in hex.")]
     platform: PlatformSettings
     log: LogSettings = LogSettings()
     seed: Annotated[
-        int, Meta(ge=0, description="Seed of random choices; 0 for one from the system.")
+        int, Meta(ge=0, description="Seed of the random number generator; 0 for a random seed.")
     ] = 0
 
 
 class DirectSettings(_Model, frozen=True, kw_only=True):
-    """Settings of an entry that calls backends itself."""
+    """Settings of an entry that calls backends directly."""
 
     instance: Annotated[Name, Meta(description="Name of the instance.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
-    http: Annotated[Address, Meta(description="Where callers are served.")]
-    ready: Annotated[Address, Meta(description="Where the balancer asks for readiness.")]
-    peer: Annotated[Address, Meta(description="Where other entries connect.")]
-    metrics: Annotated[Address, Meta(description="Where status and metrics are served.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
+    http: Annotated[Address, Meta(description="Listening address for callers.")]
+    ready: Annotated[
+        Address, Meta(description="Listening address for readiness checks of the load balancer.")
+    ]
+    peer: Annotated[Address, Meta(description="Listening address for other entries.")]
+    metrics: Annotated[Address, Meta(description="Listening address of status and metrics.")]
     store: Annotated[Address, Meta(description="Address of the platform's store.")]
-    adapter: Annotated[str, Meta(description="Name of the registered adapters to use.")]
+    adapter: Annotated[str, Meta(description="Name of the registered adapters.")]
     retry_ratio: Annotated[
-        float, Meta(ge=0, description="Retries allowed for each request to a service.")
+        float, Meta(ge=0, description="Retries allowed per request to a service.")
     ] = 0.1
     retry_window_s: Annotated[
-        float, Meta(gt=0, description="Seconds over which retries are counted.")
+        float,
+        Meta(gt=0, description="Length in seconds of the window in which retries are counted."),
     ] = 10.0
     retry_slack: Annotated[
         # Deployments scale this value with their size, so it can be fractional.
         float,
-        Meta(ge=0, description="Retries allowed in a window beyond the ratio, fleet-wide."),
+        Meta(ge=0, description="Fleet-wide retries allowed per window in addition to the ratio."),
     ] = 20
     log: LogSettings = LogSettings(format="json")
 
 
 class RanksSettings(_Model, frozen=True, kw_only=True):
-    """Settings of the process beside an engine that moves its group's experts."""
+    """Settings of a rank process, which manages its group's expert map beside an engine."""
 
     instance: Annotated[Name, Meta(description="Name of the instance.")]
     domain: Annotated[
         str,
-        Meta(description="Failure domain it stands in; empty has it link with owners itself."),
+        Meta(description="Failure domain of the instance; if empty, owners connect without relay."),
     ] = ""
-    engine: Annotated[Address, Meta(description="Address of the engine beside it.")]
-    peer: Annotated[Address, Meta(description="Where its group's other processes connect.")]
-    metrics: Annotated[Address, Meta(description="Where metrics are served.")]
+    engine: Annotated[Address, Meta(description="Address of the local engine.")]
+    peer: Annotated[
+        Address, Meta(description="Listening address for other processes of its group.")
+    ]
+    metrics: Annotated[Address, Meta(description="Listening address of metrics.")]
     store: Annotated[Address, Meta(description="Address of the platform's store.")]
-    adapter: Annotated[str, Meta(description="Name of the registered adapters to use.")]
+    adapter: Annotated[str, Meta(description="Name of the registered adapters.")]
     log: LogSettings = LogSettings(format="json")
 
 
--- a/src/canvasyoke/state/_submission.py
+++ b/src/canvasyoke/state/_submission.py
@@ -166,13 +166,13 @@
             return Accepted(applied.generation)
         if root.generation != self._submission.base:
             return self._reject_conflict(root)
-        snapshot = self._merge(root)
-        if not isinstance(snapshot, _MergedConfig):
-            return snapshot
-        unavailable = self._write_contents(snapshot.contents)
+        merged = self._merge(root)
+        if not isinstance(merged, _MergedConfig):
+            return merged
+        unavailable = self._write_contents(merged.contents)
         if unavailable is not None:
             return unavailable
-        return self._write_root(snapshot.root, version)
+        return self._write_root(merged.root, version)
 
     def _reject_conflict(self, root: Root) -> Rejected:
         base = self._submission.base
