--- a/src/canvasyoke/cli/_main.py
+++ b/src/canvasyoke/cli/_main.py
@@ -1,9 +1,8 @@
-"""Finds the command, checks its arguments strictly, and runs it.
+"""Command dispatch and argument parsing.
 
-Fire turns a function into a command, but takes stray arguments and turns values
-into Python objects. Here each argument is checked against the function's
-signature first and stays a string. The two long-running roles are started
-without fire, which would stay in their memory.
+Fire accepts unexpected arguments and converts values to Python objects. Arguments are therefore
+checked against the signature of the command first, and passed as strings. Long-running roles are
+started without importing fire, to save memory.
 """
 
 from __future__ import annotations
@@ -13,50 +12,50 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from canvasyoke.cli import _operator, _roles  # noqa: F401  (they fill the registry)
+from canvasyoke.cli import _operator, _roles  # noqa: F401  (register commands)
 from canvasyoke.cli._registry import COMMANDS, DAEMONS, USAGE, Command
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command in ``argv`` (default: the process's) and return its exit code.
+    """Run the command in ``argv`` (default: ``sys.argv``) and return its exit code.
 
-    0 means done, 1 refused or failed, 2 that the command was not understood.
+    The exit code is 0 on success, 1 if the command was refused or failed, and 2 on usage errors.
     """
     arguments = list(sys.argv[1:] if argv is None else argv)
     if not arguments or arguments[0] in ("-h", "--help", "help"):
-        print(_overview())
+        print(_format_overview())
         return 0 if arguments else USAGE
     name, rest = arguments[0], arguments[1:]
     if name not in COMMANDS.names():
-        return _usage(f"no command is called {name!r}; see canvasyoke --help")
+        return _usage_error(f"unknown command {name!r}; see canvasyoke --help")
     command = COMMANDS.get(name)
     if any(argument in ("-h", "--help") for argument in rest):
-        print(_help(name, command))
+        print(_format_help(name, command))
         return 0
-    bound = _bind(command, rest)
+    bound = _bind_arguments(command, rest)
     if isinstance(bound, str):
-        return _usage(f"{bound}; see canvasyoke {name} --help")
+        return _usage_error(f"{bound}; see canvasyoke {name} --help")
     if name in DAEMONS:
         return command(*bound.positional, **bound.options)
     return _run_with_fire(command, bound)
 
 
 @dataclass(slots=True)
-class _Bound:
-    """Arguments that fit a command."""
+class _BoundArguments:
+    """Parsed arguments that match the signature of a command."""
 
     positional: list[str] = field(default_factory=list)
     options: dict[str, str] = field(default_factory=dict)
 
-    def words(self) -> list[str]:
-        """Return the arguments as words, options last."""
+    def to_argv(self) -> list[str]:
+        """Return the arguments as a command line, options last."""
         words = list(self.positional)
         for name, value in self.options.items():
             words.append(f"--{name}={value}")
         return words
 
 
-def _run_with_fire(command: Command, bound: _Bound) -> int:
+def _run_with_fire(command: Command, bound: _BoundArguments) -> int:
     import fire
     from fire.decorators import SetParseFn
 
@@ -65,16 +64,16 @@
     def run(*args: str, **options: str) -> None:
         results.append(command(*args, **options))
 
-    fire.Fire(SetParseFn(str)(run), command=bound.words(), name="canvasyoke")
+    fire.Fire(SetParseFn(str)(run), command=bound.to_argv(), name="canvasyoke")
     return results[0]
 
 
-def _bind(command: Command, words: Sequence[str]) -> _Bound | str:
-    """Return the arguments in ``words``, or what is wrong with them."""
+def _bind_arguments(command: Command, words: Sequence[str]) -> _BoundArguments | str:
+    """Parse ``words`` for ``command``; return an error message if they are invalid."""
     parameters = inspect.signature(command).parameters.values()
     options = {p.name: p for p in parameters if p.kind is p.KEYWORD_ONLY}
-    takes_files = any(p.kind is p.VAR_POSITIONAL for p in parameters)
-    bound = _Bound()
+    accepts_files = any(p.kind is p.VAR_POSITIONAL for p in parameters)
+    bound = _BoundArguments()
     rest = iter(words)
     for word in rest:
         if not word.startswith("-") or word == "-":
@@ -85,33 +84,33 @@
         if name not in options or not word.startswith("--"):
             return f"unknown option {word}"
         if name in bound.options:
-            return f"option --{name} stands twice"
+            return f"option --{name} is given more than once"
         if not equals:
-            following = next(rest, None)
-            if following is None or following.startswith("--"):
+            next_argument = next(rest, None)
+            if next_argument is None or next_argument.startswith("--"):
                 return f"option --{name} needs a value"
-            value = following
+            value = next_argument
         bound.options[name] = value
-    if bound.positional and not takes_files:
+    if bound.positional and not accepts_files:
         return f"unexpected argument {bound.positional[0]!r}"
-    if takes_files and not bound.positional:
-        return "at least one FILE is needed"
+    if accepts_files and not bound.positional:
+        return "at least one FILE is required"
     for name, parameter in options.items():
         if parameter.default is parameter.empty and name not in bound.options:
             return f"option --{name} is required"
     return bound
 
 
-def _overview() -> str:
+def _format_overview() -> str:
     lines = ["canvasyoke: a load balancer for expert-parallel model groups", "", "Commands:"]
     for name in COMMANDS.names():
         summary = (COMMANDS.get(name).__doc__ or "").strip().splitlines()[0]
         lines.append(f"  {name:<12}{summary}")
-    lines += ["", "canvasyoke COMMAND --help tells more. Exit codes: 0 done, 1 refused, 2 usage."]
+    lines += ["", "Details: canvasyoke COMMAND --help. Exit codes: 0 done, 1 refused, 2 usage."]
     return "\n".join(lines)
 
 
-def _help(name: str, command: Callable[..., int]) -> str:
+def _format_help(name: str, command: Callable[..., int]) -> str:
     parameters = inspect.signature(command).parameters.values()
     words = [f"canvasyoke {name}"]
     for parameter in parameters:
@@ -124,6 +123,6 @@
     return f"usage: {' '.join(words)}\n\n{inspect.getdoc(command)}"
 
 
-def _usage(text: str) -> int:
+def _usage_error(text: str) -> int:
     print(f"canvasyoke: {text}", file=sys.stderr)
     return USAGE
--- a/src/canvasyoke/cli/_operator.py
+++ b/src/canvasyoke/cli/_operator.py
@@ -1,4 +1,4 @@
-"""The operators' commands: ``check``, ``apply``, ``status``, ``quarantine``, ``audit``, ..."""
+"""Commands for operators, such as ``check``, ``apply``, ``status`` and ``audit``."""
 
 from __future__ import annotations
 
@@ -45,16 +45,16 @@
 _STATUS_TIMEOUT: Final = 5.0
 
 
-class _Loaded(msgspec.Struct):
-    """Files that are each in order, and the documents that tell their lines."""
+class _LoadedFiles(msgspec.Struct):
+    """Valid files by name, and their documents for line numbers."""
 
     models: dict[str, FileModel]
     documents: dict[str, Document]
 
 
-def _load(files: Sequence[str]) -> _Loaded | list[Fault]:
-    """Return the files, or every fault in any of them."""
-    loaded = _Loaded({}, {})
+def _load_files(files: Sequence[str]) -> _LoadedFiles | list[Fault]:
+    """Load and validate ``files``; return the faults of all files if there are any."""
+    loaded = _LoadedFiles({}, {})
     faults: list[Fault] = []
     for file in files:
         name = os.path.basename(file)
@@ -76,16 +76,18 @@
     return faults or loaded
 
 
-def _place(faults: Sequence[ReferenceFault], documents: Mapping[str, Document]) -> list[Fault]:
-    """Return ``faults`` with lines, where their file was given."""
-    placed = []
+def _locate_faults(
+    faults: Sequence[ReferenceFault], documents: Mapping[str, Document]
+) -> list[Fault]:
+    """Add line numbers to ``faults`` in files whose document is known."""
+    located = []
     for fault in faults:
         document = documents.get(fault.file)
         if document is None:
-            placed.append(Fault(fault.file, 1, ".".join(fault.path), fault.expected))
+            located.append(Fault(fault.file, 1, ".".join(fault.path), fault.expected))
         else:
-            placed.append(document.fault(fault.path, fault.expected))
-    return placed
+            located.append(document.fault(fault.path, fault.expected))
+    return located
 
 
 def _print_faults(faults: Sequence[Fault]) -> int:
@@ -96,19 +98,19 @@
 
 @COMMANDS.register("check")
 def check(*files: str) -> int:
-    """Check configuration files, alone and together.
+    """Check configuration files, individually and for consistency.
 
-    FILE...   files that would be in force together
+    FILE...   all files of the configuration
 
-    Prints every fault with file, line, path and what was expected.
+    Prints every fault with file, line, path and expected value.
     """
-    loaded = _load(files)
+    loaded = _load_files(files)
     if isinstance(loaded, list):
         return _print_faults(loaded)
     built = build_config(1, loaded.models)
     if isinstance(built, list):
-        return _print_faults(_place(built, loaded.documents))
-    print(f"{len(loaded.models)} file(s) in order")
+        return _print_faults(_locate_faults(built, loaded.documents))
+    print(f"{len(loaded.models)} valid file(s)")
     return DONE
 
 
@@ -121,20 +123,20 @@
     remove: str = "",
     adapter: str = "http-json",
 ) -> int:
-    """Put configuration files in force, all of them or none.
+    """Activate configuration files atomically.
 
-    FILE...                files to put in force; one of the same name is replaced
+    FILE...                files to activate; active files of the same name are replaced
     --platform IP:PORT     the platform's object API
-    --generation N         generation the files were written against; 0 for the first
-    --operator NAME        who submits, for the audit trail (default: the user's name)
-    --remove NAME[,NAME]   files to take out of force
+    --generation N         generation on which the files are based; 0 for the first
+    --operator NAME        operator for the audit trail (default: the user's name)
+    --remove NAME[,NAME]   active files to remove
     --adapter NAME         platform adapter
 
-    Refused when another generation is in force by now; what changed is shown.
+    Refused if another generation is active; the changes since N are then shown.
     """
     if not generation.isdigit():
         return _usage_error(f"--generation takes a number, not {generation!r}")
-    loaded = _load(files)
+    loaded = _load_files(files)
     if isinstance(loaded, list):
         return _print_faults(loaded)
     clock = SystemClock()
@@ -150,7 +152,7 @@
     recorded = AuditTrail(store).append(_audit_entry(submission, result, clock.wall()))
     if not recorded:
         print("canvasyoke: the audit trail could not be written", file=sys.stderr)
-    return _report(result, loaded)
+    return _print_result(result, loaded)
 
 
 def _audit_entry(submission: Submission, result: SubmitResult, wall: int) -> AuditEntry:
@@ -174,7 +176,7 @@
     )
 
 
-def _report(result: SubmitResult, loaded: _Loaded) -> int:
+def _print_result(result: SubmitResult, loaded: _LoadedFiles) -> int:
     match result:
         case Accepted(generation):
             print(f"accepted: generation {generation}")
@@ -184,7 +186,7 @@
             for change in result.changes:
                 what = f"generation {change.generation} by {change.operator}"
                 print(f"  {what}: {', '.join(change.files)}", file=sys.stderr)
-            _print_faults(_place(result.faults, loaded.documents))
+            _print_faults(_locate_faults(result.faults, loaded.documents))
         case Ambiguous(detail):
             print(f"unknown: {detail}; see canvasyoke audit before trying again", file=sys.stderr)
     return REFUSED
@@ -192,10 +194,10 @@
 
 @COMMANDS.register("status")
 def status(*, entry: str, output: str = "text") -> int:
-    """Show what is in force and what is wrong, as one entry sees it.
+    """Show the fleet status and detected problems, as seen by one entry.
 
     --entry IP:PORT     admin address of any entry
-    --output text|json  for people or for programs
+    --output text|json  output format
     """
     if output not in _OUTPUTS:
         return _usage_error(f"--output takes text or json, not {output!r}")
@@ -212,11 +214,11 @@
 
 @COMMANDS.register("quarantine")
 def quarantine(*, entry: str, release: str = "", output: str = "text") -> int:
-    """Show requests that are kept from all backends since backends end under them.
+    """Show quarantined requests, which are blocked because they crash backends.
 
     --entry IP:PORT        metrics address of any direct entry
-    --release FINGERPRINT  let this one run again, at all entries
-    --output text|json     for people or for programs
+    --release FINGERPRINT  release this request from quarantine at all entries
+    --output text|json     output format
     """
     if output not in _OUTPUTS:
         return _usage_error(f"--output takes text or json, not {output!r}")
@@ -234,8 +236,8 @@
     if response.status != HTTPStatus.OK:
         print(f"canvasyoke: {response.data.decode().strip()}", file=sys.stderr)
         return REFUSED
-    as_it_is = release or output == "json"
-    print(response.data.decode().strip() if as_it_is else render_quarantine(response.data))
+    print_raw = release or output == "json"
+    print(response.data.decode().strip() if print_raw else render_quarantine(response.data))
     return DONE
 
 
@@ -248,12 +250,12 @@
     output: str = "text",
     adapter: str = "http-json",
 ) -> int:
-    """Show the audit trail: who changed what, when, and what was refused.
+    """Show the audit trail of accepted and refused changes.
 
     --platform IP:PORT  the platform's object API
-    --since TIME        from this time on, as 2026-01-31 or 2026-01-31T08:00 (UTC)
-    --service NAME      only what concerns this service, group or file
-    --output text|json  for people or for programs
+    --since TIME        earliest time, such as 2026-01-31 or 2026-01-31T08:00 (UTC)
+    --service NAME      only entries about this service, group or file
+    --output text|json  output format
     --adapter NAME      platform adapter
     """
     if output not in _OUTPUTS:
@@ -262,7 +264,7 @@
         start = _parse_time(since)
     except ValueError:
         return _usage_error(f"--since takes a time like 2026-01-31T08:00, not {since!r}")
-    entries = _read_trail(PLATFORMS.get(adapter)(platform), start, service)
+    entries = _read_audit_entries(PLATFORMS.get(adapter)(platform), start, service)
     if isinstance(entries, Unavailable):
         print(f"canvasyoke: the platform does not answer: {entries.detail}", file=sys.stderr)
         return REFUSED
@@ -270,12 +272,18 @@
     return DONE
 
 
-def _read_trail(platform: Platform, since: int, subject: str) -> list[AuditEntry] | Unavailable:
-    """Return the trail, with changes from the root that never reached it."""
+def _read_audit_entries(
+    platform: Platform, since: int, subject: str
+) -> list[AuditEntry] | Unavailable:
+    """Return the audit entries, completed by changes that only the root's history has."""
     entries = AuditTrail(platform).read(since, subject)
     root = read_root(platform)
     if isinstance(entries, Unavailable) or isinstance(root, Unavailable):
-        return entries if isinstance(entries, Unavailable) else Unavailable("no root")
+        return (
+            entries
+            if isinstance(entries, Unavailable)
+            else Unavailable("cannot read the root object")
+        )
     if not isinstance(root, Root):
         return entries
     known = {entry.id for entry in entries}
@@ -301,10 +309,10 @@
 def _parse_time(text: str) -> int:
     if not text:
         return 0
-    moment = datetime.datetime.fromisoformat(text)
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.UTC)
-    return round(moment.timestamp() * 1_000)
+    timestamp = datetime.datetime.fromisoformat(text)
+    if timestamp.tzinfo is None:
+        timestamp = timestamp.replace(tzinfo=datetime.UTC)
+    return round(timestamp.timestamp() * 1_000)
 
 
 def _usage_error(text: str) -> int:
@@ -314,6 +322,6 @@
 
 @COMMANDS.register("version")
 def version() -> int:
-    """Print the versions of the program and of its protocol."""
+    """Print the program version and the protocol version."""
     print(f"canvasyoke {VERSION}, protocol {PROTOCOL_VERSION}")
     return DONE
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -253,7 +253,7 @@
     def _key_slot_count(self) -> int:
         """Return the number of key slots of the service; 0 if it uses none."""
         service = self._view.current.services.get(self._settings.service)
-        return service.model.key_slots if service and service.holds_keys else 0
+        return service.model.key_slots if service and service.accepts_non_repeatable else 0
 
     def _on_holding(self, holding: Holding) -> None:
         self._holding = holding
