--- a/src/canvasyoke/backend/__init__.py
+++ b/src/canvasyoke/backend/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to engines and plain services."""
+"""Ports and adapters for engines and plain services."""
 
 from canvasyoke.backend._direct import (
     DIRECT_BACKENDS,
@@ -8,7 +8,7 @@
     NotRun,
     NotRunCause,
     OutboundRequest,
-    Sending,
+    SendResult,
 )
 from canvasyoke.backend._engine import EngineBackend
 from canvasyoke.backend._notice import (
@@ -58,6 +58,6 @@
     "RankOrder",
     "RankPort",
     "ReportedLoad",
-    "Sending",
+    "SendResult",
     "UnreadableField",
 ]
--- a/src/canvasyoke/backend/_direct.py
+++ b/src/canvasyoke/backend/_direct.py
@@ -1,7 +1,7 @@
-"""What an entry asks of a backend that it calls itself.
+"""Port through which an entry sends requests directly to backends.
 
-The port keeps three things apart that must never be mixed up: a request that certainly
-did not run, one that may have run, and an answer.
+Its results distinguish a request that certainly did not run, a request that may have run, and
+an answer.
 """
 
 from __future__ import annotations
@@ -19,96 +19,96 @@
 
 
 class NotRunCause(enum.StrEnum):
-    """Why a backend certainly did not run a request."""
+    """Why a request certainly did not run."""
 
     UNREACHABLE = "unreachable"
-    #: It was not sent after all, although a connection was made.
+    #: A connection was made, but the request was not sent.
     WITHDRAWN = "withdrawn"
-    #: All of its slots and its queue are taken, or its group stands still.
+    #: All slots and the queue are full, or the rank group executes no steps.
     FULL = "full"
-    #: Another run has the address now.
+    #: Another run of a backend has the address now.
     MOVED = "moved"
-    #: It will not run the request as it is.
+    #: The backend rejects this request.
     REJECTED = "rejected"
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request certainly did not run and never will."""
+    """The request did not run and will not run later."""
 
     cause: NotRunCause
     detail: str
-    #: Id of the backend at fault where that is another than the one called.
-    at_fault: str = ""
-    #: What the backend said of itself with its refusal.
+    #: Id of the failed backend if it is not the one that was called; otherwise empty.
+    faulty_backend: str = ""
+    #: Notice in the headers of the refusal.
     notice: BackendNotice = NO_NOTICE
 
     @property
-    def has_arrived(self) -> bool:
-        """Tell whether the backend has had the request."""
+    def was_received(self) -> bool:
+        """Whether the backend received the request."""
         return self.cause not in (NotRunCause.UNREACHABLE, NotRunCause.WITHDRAWN)
 
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """The request may have run, and there is no answer."""
+    """The request may have run, but there is no complete answer."""
 
     detail: str
-    #: Whether the connection ended before a whole answer had come; not when time ran out
-    #: or what came cannot be the answer.
-    is_broken: bool = False
-    #: What the backend said of itself in a head that came all the same.
+    #: Whether the connection ended before the complete answer was received; false after a
+    #: timeout or an answer that does not belong to the request.
+    is_connection_lost: bool = False
+    #: Notice in the headers, if any were received.
     notice: BackendNotice = NO_NOTICE
 
 
 @dataclass(frozen=True, slots=True)
 class OutboundRequest:
-    """A request as a backend gets it."""
+    """A request to be sent to a backend."""
 
     method: str
-    #: Path and query as the caller wrote them.
+    #: Path and query, unchanged from the caller's request.
     target: str
-    #: The caller's headers that are passed on.
+    #: Forwarded headers of the caller.
     headers: tuple[tuple[str, str], ...]
     body: bytes
     request_id: str
-    #: Milliseconds that the backend may take.
+    #: Milliseconds until the request's deadline.
     time_left: int
     #: Name of the organisation; empty for a caller without a key.
     organisation: str
     #: 0 is the most urgent.
     priority: int
-    #: Id of the last event that the caller has; empty for a whole answer.
+    #: Id of the last event that the caller received; empty to start from the beginning.
     resume_after: str = ""
 
 
 class BackendAnswer(ABC):
-    """An answer whose head has come."""
+    """An answer whose status and headers have been received."""
 
-    #: HTTP status.
+    #: HTTP status code.
     status: int
-    #: Headers for the caller.
+    #: Headers to forward to the caller.
     headers: list[tuple[str, str]]
-    #: What the backend said of itself.
+    #: Notice in the headers.
     notice: BackendNotice = NO_NOTICE
-    #: Whether its end is told by a length or a last chunk. The end of one without is that
-    #: of its connection, as it is when the backend has ended.
+    #: Whether a content length or a last chunk marks the end of the body. Otherwise the end of
+    #: the connection does, so that a truncated body cannot be recognised.
     is_framed: bool
 
     @abstractmethod
     def pieces(self) -> Iterator[bytes]:
-        """Yield the body; raises ``OSError`` if it turns out not to be whole."""
+        """Yield the body; raises ``OSError`` if it is incomplete."""
 
     @abstractmethod
     def wait_at_most(self, duration: int) -> None:
-        """Let each further read take up to ``duration`` milliseconds."""
+        """Limit each further read to ``duration`` milliseconds."""
 
     @abstractmethod
     def close(self) -> None:
-        """Give the rest up."""
+        """Close the connection and discard the rest of the body."""
 
 
-Sending: TypeAlias = BackendAnswer | NotRun | MayHaveRun
+SendResult: TypeAlias = BackendAnswer | NotRun | MayHaveRun
 
 
 class DirectBackendPort(ABC):
@@ -117,16 +117,16 @@
     @abstractmethod
     def send(
         self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
-        """Send ``request`` to ``endpoint`` and wait for the head of its answer."""
+    ) -> SendResult:
+        """Send ``request`` to ``endpoint`` and wait for the headers of its answer."""
 
     @abstractmethod
-    def pace_of(self, endpoint: Endpoint) -> float | None:
-        """Return how many times as long as usual a backend takes; ``None`` if unknown."""
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
+        """Return a backend's processing time relative to the usual one; ``None`` if unknown."""
 
     @abstractmethod
     def group_of(self, endpoint: Endpoint) -> str | None:
-        """Return the rank group of a backend, empty if it has none; ``None`` if unknown."""
+        """Return the rank group of a backend; empty if it has none, ``None`` if unknown."""
 
 
 #: Adapters by name.
--- a/src/canvasyoke/backend/_engine.py
+++ b/src/canvasyoke/backend/_engine.py
@@ -1,9 +1,9 @@
-"""A model engine over HTTP: generations are streams of lines that can be resumed.
+"""HTTP adapter for model engines, whose generations are streams that can be resumed.
 
-``POST /generate`` answers with one JSON line for each token and a last line
-``{"done": true, ...}``; ``X-Offset`` asks for the tokens from an index on. Each
-line is one chunk, so a chunk's index is a token's and a stream that broke can go
-on elsewhere. A stream without its last line is not whole.
+``POST /generate`` responds with one JSON line for each token and a last line
+``{"done": true, ...}``; ``X-Offset`` requests the tokens from an index on. Each line is passed
+on as one chunk, so that chunk and token have the same index and another engine can resume an
+interrupted stream. A stream without the last line is incomplete.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from canvasyoke.backend._plain import PlainBackend, cancelled
+from canvasyoke.backend._plain import PlainBackend, cancelled_call
 from canvasyoke.backend._port import (
     BACKENDS,
     AnswerSink,
     CacheEvent,
-    CallEnd,
+    CallResult,
     Done,
     EngineLoad,
     EnginePort,
@@ -30,7 +30,7 @@
 from canvasyoke.transport import BackendPool, CallFailed, HttpReply
 
 _OK: Final = 200
-#: Names one run at the engine: a request that is tried again has several.
+#: Id of one attempt at the engine; a retried request has several.
 _RUN_ID_HEADER: Final = "X-Run-Id"
 _ORDER_TIMEOUT: Final = 2_000
 
@@ -44,7 +44,7 @@
 
 @BACKENDS.register("engine-http")
 class EngineBackend(PlainBackend):
-    """Streams, resumes and cancels generations; also the engine's rank."""
+    """Streams, resumes and cancels generations; also provides the engine's rank."""
 
     def __init__(self, address: str) -> None:
         super().__init__(address)
@@ -53,12 +53,12 @@
 
     @property
     def rank_port(self) -> RankPort:
-        """Return the engine's rank."""
+        """Port of the engine's rank."""
         return self._rank
 
     @property
     def engine_port(self) -> EnginePort:
-        """Return the engine."""
+        """Port for load, cache events and cancellation."""
         return self._engine
 
     def _request_headers(self, run: Run, run_id: str) -> dict[str, str]:
@@ -68,7 +68,9 @@
         headers[_RUN_ID_HEADER] = run_id
         return headers
 
-    def _pass_body(self, reply: HttpReply, sink: AnswerSink, run: Run, run_id: str) -> CallEnd:
+    def _forward_body(
+        self, reply: HttpReply, sink: AnswerSink, run: Run, run_id: str
+    ) -> CallResult:
         is_stream = any(
             name.lower() == "content-type" and "ndjson" in value for name, value in reply.headers
         )
@@ -77,32 +79,34 @@
                 reply.close()
                 detail = "the engine did not go on with the stream"
                 return Failed(Refusal(Outcome.UNKNOWN, Reason.BACKEND_FAILED, detail))
-            return super()._pass_body(reply, sink, run, run_id)
-        whole = False
-        # The stream is read to its very end even after the last line: a connection
-        # given back with the end unread would spoil the next request's answer.
+            return super()._forward_body(reply, sink, run, run_id)
+        is_complete = False
+        # Reads on after the last line: unread bytes on a connection that is returned to the
+        # pool would corrupt the next response.
         for line in reply.lines():
-            if sink.cancelled and not whole:
+            if sink.cancelled and not is_complete:
                 self._engine.cancel(run_id)
                 reply.close()
-                return cancelled()
+                return cancelled_call()
             sink.chunk(line + b"\n")
-            whole = line.startswith(b'{"done"') and msgspec.json.decode(line, type=_LastLine).done
+            is_complete = (
+                line.startswith(b'{"done"') and msgspec.json.decode(line, type=_LastLine).done
+            )
         reply.release()
-        if whole:
+        if is_complete:
             return Done()
         detail = "the engine's stream ended early"
         return Failed(Refusal(Outcome.UNKNOWN, Reason.BACKEND_FAILED, detail))
 
 
 class _HttpRankPort(RankPort):
-    """Orders as JSON to ``/group``."""
+    """Sends orders as JSON to ``/group``."""
 
     def __init__(self, pool: BackendPool) -> None:
         self._pool = pool
 
     def order(self, order: RankOrder) -> RankAnswer:
-        """Carry out ``order``."""
+        """Send ``order`` and return the rank's answer."""
         reply = self._pool.call(
             "POST", "/group", body=msgspec.json.encode(order), read_timeout=_ORDER_TIMEOUT
         )
@@ -125,34 +129,34 @@
 
 
 class _HttpEnginePort(EnginePort):
-    """``/load``, ``/cache-events`` and ``/cancel``."""
+    """Client of ``/load``, ``/cache-events`` and ``/cancel``."""
 
     def __init__(self, pool: BackendPool) -> None:
         self._pool = pool
 
     def load(self) -> EngineLoad | None:
-        """Return the load reported."""
+        """Return the reported load."""
         body = self._get("/load", _LoadBody)
         return EngineLoad(body.running, body.queued, body.slots, body.age_ms) if body else None
 
     def cache_events(self, after: int) -> list[CacheEvent] | None:
-        """Return the events after number ``after``."""
+        """Return the events with a number above ``after``."""
         return self._get(f"/cache-events?since={after}", list[CacheEvent])
 
     def cancel(self, run_id: str) -> bool:
-        """Stop a generation."""
+        """Cancel a generation; true if the engine accepted it."""
         reply = self._pool.call("POST", f"/cancel/{run_id}", read_timeout=_ORDER_TIMEOUT)
         if isinstance(reply, CallFailed):
             return False
         reply.close()
         return reply.status == _OK
 
-    def _get(self, path: str, kind: type[BodyT]) -> BodyT | None:
+    def _get(self, path: str, body_type: type[BodyT]) -> BodyT | None:
         reply = self._pool.call("GET", path, read_timeout=_ORDER_TIMEOUT)
         if isinstance(reply, CallFailed):
             return None
         try:
-            body = msgspec.json.decode(b"".join(reply.chunks()), type=kind)
+            body = msgspec.json.decode(b"".join(reply.chunks()), type=body_type)
         except (OSError, msgspec.DecodeError):
             reply.close()
             return None
--- a/src/canvasyoke/backend/_notice.py
+++ b/src/canvasyoke/backend/_notice.py
@@ -1,4 +1,4 @@
-"""What a backend says of itself in the head of an answer."""
+"""Notice about its own state that a backend sends in the headers of an answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What a backend said of its load on an answer."""
+    """Load that a backend reports with an answer."""
 
     running: int
     waiting: int
@@ -16,32 +16,32 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableField:
-    """Something that a backend said of itself and that makes no sense."""
+    """A field of a notice whose value is invalid."""
 
-    #: What it would have told, by the name of the field of a notice.
+    #: Name of the field in ``BackendNotice``.
     name: str
-    #: The text as it came, cut short.
+    #: The received text, truncated.
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class BackendNotice:
-    """A backend's own word, of the run that answered and of the moment of its answer."""
+    """State of the run that answered, at the time of its answer."""
 
     load: ReportedLoad | None = None
-    #: Milliseconds for which it wants no request from the entry that it answered; 0 for none.
+    #: Milliseconds for which the entry that it answered should send no requests; 0 for none.
     backoff: int = 0
-    #: Whether it is about to end.
+    #: Whether the backend is about to shut down.
     is_leaving: bool = False
-    #: Requests a second that it takes from all entries together; ``None`` for no limit.
+    #: Requests per second accepted from all entries together; ``None`` for no limit.
     rate_limit: float | None = None
-    #: Whether its limit can be told from this at all: a head has come, and is readable.
-    tells_limit: bool = False
-    #: What cannot be read; it changes nothing.
+    #: Whether ``rate_limit`` is valid: headers were received and contain no invalid limit.
+    is_limit_known: bool = False
+    #: Fields with an invalid value; they keep their defaults.
     unreadable: tuple[UnreadableField, ...] = ()
 
     def __str__(self) -> str:
-        """Return what it says beyond its load, for the log; empty for nothing."""
+        """Return all fields but the load for the log; empty if none is set."""
         parts = []
         if self.backoff:
             parts.append(f"backoff={self.backoff}ms")
@@ -53,5 +53,5 @@
         return " ".join(parts)
 
 
-#: A head that says nothing of its backend.
+#: Notice without any information about the backend.
 NO_NOTICE = BackendNotice()
--- a/src/canvasyoke/backend/_port.py
+++ b/src/canvasyoke/backend/_port.py
@@ -1,4 +1,4 @@
-"""What a target process asks of the engine or plain service beside it."""
+"""Ports through which a target process uses its local engine or plain service."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 
 
 class AnswerSink(ABC):
-    """Takes an answer as the backend gives it."""
+    """Receives an answer while the backend produces it."""
 
     @abstractmethod
     def head(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Take the status and headers; called once, before any chunk."""
+        """Receive the status and headers; called once, before any chunk."""
 
     @abstractmethod
     def chunk(self, data: bytes) -> None:
-        """Take the next piece of the body."""
+        """Receive the next part of the body."""
 
     @property
     @abstractmethod
     def cancelled(self) -> bool:
-        """Tell whether nobody wants the rest."""
+        """Whether the rest of the answer is no longer needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The whole answer was given."""
+    """The complete answer was passed on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """There is no answer, or no more of it."""
+    """There is no answer, or it is incomplete."""
 
     refusal: Refusal
 
 
-CallEnd: TypeAlias = Done | Failed
+CallResult: TypeAlias = Done | Failed
 
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """What a probe of the backend found."""
+    """Result of a health probe."""
 
     ok: bool
     detail: str = ""
@@ -61,26 +61,26 @@
     epoch: int
     number: int
     step: int = 0
-    #: With ``prepare``, halt; with ``activate``, give up a step that cannot end.
+    #: With ``prepare``, halt; with ``activate``, abandon a step that cannot complete.
     jump: bool = False
-    #: Ranks of the map and every copy in it, for ``prepare``.
+    #: Ranks and expert replicas of the map, for ``prepare``.
     ranks: list[int] = []
     replicas: list[ExpertReplica] = []
 
 
 class RankAnswer(msgspec.Struct, frozen=True):
-    """What a rank answered."""
+    """A rank's answer to an order."""
 
     ok: bool
     detail: str = ""
-    #: Highest map in force or prepared.
+    #: Epoch and number of the highest map that is in force or prepared.
     epoch: int = 0
     number: int = 0
-    #: Step the rank is in.
+    #: Current step of the rank.
     step: int = 0
-    #: Tokens per expert since the last ``counts``, layer by layer.
+    #: Tokens by layer and expert since the last ``counts``.
     counts: list[list[int]] = []
-    #: Mean time of the rank's own part of recent steps, in microseconds.
+    #: Mean time of the rank's own work in recent steps, in microseconds.
     step_time: int = 0
     #: The map in force, for ``highest``.
     ranks: list[int] = []
@@ -88,70 +88,70 @@
 
 
 class RankPort(ABC):
-    """The part of an engine that is a rank of a group."""
+    """Controls an engine as a rank of its group."""
 
     @abstractmethod
     def order(self, order: RankOrder) -> RankAnswer:
-        """Carry out ``order``; an unreachable rank answers ``ok=False``."""
+        """Send ``order``; returns ``ok=False`` if the rank is unreachable."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """Load as an engine reports it, some time after the fact."""
+    """Load reported by an engine, with a delay."""
 
     running: int
     queued: int
     slots: int
-    #: Milliseconds since the load was so; -1 when the engine does not say.
+    #: Age of the values in milliseconds; -1 if unknown.
     age: int
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """An engine has cached a prompt prefix."""
+    """Event of an engine that cached a prompt prefix."""
 
-    #: Number of the event; a number left out is an event that was lost.
+    #: Consecutive number; a gap means that events were lost.
     sequence: int
     #: Hash of the prefix.
     prefix: str
 
 
 class EnginePort(ABC):
-    """The part of a backend that is a model engine."""
+    """Load, cache events and cancellation of a model engine."""
 
     @abstractmethod
     def load(self) -> EngineLoad | None:
-        """Return the load reported; ``None`` when the engine does not answer."""
+        """Return the reported load; ``None`` if the engine does not answer."""
 
     @abstractmethod
     def cache_events(self, after: int) -> list[CacheEvent] | None:
-        """Return the events after number ``after``; ``None`` without an answer."""
+        """Return the events with a number above ``after``; ``None`` if there is no answer."""
 
     @abstractmethod
     def cancel(self, run_id: str) -> bool:
-        """Stop a generation; true when the engine took the order."""
+        """Cancel a generation; true if the engine accepted it."""
 
 
 class Backend(ABC):
     """An engine or plain service."""
 
     @abstractmethod
-    def call(self, run: Run, sink: AnswerSink) -> CallEnd:
-        """Run one request and give its answer to ``sink``; blocks until it ended."""
+    def call(self, run: Run, sink: AnswerSink) -> CallResult:
+        """Run one request and pass its answer to ``sink``; blocks until it has ended."""
 
     @abstractmethod
     def probe(self) -> Health:
-        """Return whether the backend answers."""
+        """Check whether the backend is healthy."""
 
     @property
     def rank_port(self) -> RankPort | None:
-        """Return the rank, where the backend is one."""
+        """Port of the rank; ``None`` if the backend is not one."""
         return None
 
     @property
     def engine_port(self) -> EnginePort | None:
-        """Return the engine, where the backend is one."""
+        """Port of the engine; ``None`` if the backend is not one."""
         return None
 
 
-#: Adapters by name; each is called with the backend's address.
+#: Adapters by name; each is constructed with the backend's address.
 BACKENDS: Registry[Callable[[str], Backend]] = Registry("backend adapter")
--- a/src/canvasyoke/backend/tests/test_engine.py
+++ b/src/canvasyoke/backend/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine adapter against the stand-in, over real HTTP."""
+"""Tests of the engine adapter with a fake engine over HTTP."""
 
 import threading
 import time
@@ -13,8 +13,8 @@
 from fakes.ports import free_address
 
 
-class Sink(AnswerSink):
-    """Keeps what it gets; cancels itself after so many chunks."""
+class RecordingSink(AnswerSink):
+    """Records an answer; reports cancellation after ``cancel_after`` chunks."""
 
     def __init__(self, cancel_after: int = 1 << 30) -> None:
         self.status = 0
@@ -52,8 +52,10 @@
 
 @pytest.fixture
 def engine() -> Iterator[tuple[Server, EngineBackend]]:
-    udp = [free_address() for _ in range(1)]
-    settings = EngineSettings(free_address(), token_ms=2, rank=0, ranks=udp, checks_fences=False)
+    rank_addresses = [free_address() for _ in range(1)]
+    settings = EngineSettings(
+        free_address(), token_ms=2, rank=0, ranks=rank_addresses, checks_fences=False
+    )
     server = serve(settings)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     yield server, EngineBackend(settings.address)
@@ -61,9 +63,9 @@
     server.server_close()
 
 
-def test_stream_is_whole_and_resumes(engine: tuple[Server, EngineBackend]) -> None:
+def test_stream_is_complete_and_resumes(engine: tuple[Server, EngineBackend]) -> None:
     _, backend = engine
-    whole, rest = Sink(), Sink()
+    whole, rest = RecordingSink(), RecordingSink()
     assert isinstance(backend.call(run(), whole), Done)
     assert isinstance(backend.call(run(offset=4), rest), Done)
     assert len(whole.chunks) == 7
@@ -71,30 +73,30 @@
     assert make_tokens("p", 0, 6)[0].encode() in whole.chunks[0]
 
 
-class LateEnd(Handler):
-    """An engine that ends its stream a while after the last line."""
+class DelayedEndHandler(Handler):
+    """Fake engine that ends its stream with a delay after the last line."""
 
     def handle_request(self, method: str, path: str, query: dict[str, str], body: bytes) -> None:
         self.begin_chunked("application/x-ndjson")
         self.write_chunk(b'{"done": true, "tokens": 0}\n')
-        time.sleep(0.05)  # the next request is sent meanwhile, if it is not held back
+        time.sleep(0.05)  # time for a premature next request
         self.write_chunk(b"")
 
 
-def test_end_that_comes_late_does_not_spoil_the_next_request() -> None:
+def test_delayed_end_does_not_corrupt_the_next_answer() -> None:
     address = free_address()
     host, port = address.rsplit(":", 1)
-    server = Server((host, int(port)), LateEnd)
+    server = Server((host, int(port)), DelayedEndHandler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     backend = EngineBackend(address)
-    assert [type(backend.call(run(), Sink())) for _ in range(3)] == [Done] * 3
+    assert [type(backend.call(run(), RecordingSink())) for _ in range(3)] == [Done] * 3
     server.shutdown()
     server.server_close()
 
 
 def test_cancel_reaches_the_engine(engine: tuple[Server, EngineBackend]) -> None:
     server, backend = engine
-    sink = Sink(cancel_after=3)
+    sink = RecordingSink(cancel_after=3)
     end = backend.call(run(b'{"prompt": "p", "max_tokens": 5000}'), sink)
     assert isinstance(end, Failed)
     assert end.refusal.reason is Reason.CANCELLED
@@ -105,10 +107,12 @@
 def test_load_and_cache_events(engine: tuple[Server, EngineBackend]) -> None:
     _, backend = engine
     for _ in range(6):
-        backend.call(run(), Sink())
+        backend.call(run(), RecordingSink())
     events = backend.engine_port.cache_events(0)
     assert events is not None
-    assert [e.sequence for e in events] == [1, 2, 3, 4, 6], "every fifth is lost"
+    assert [e.sequence for e in events] == [1, 2, 3, 4, 6], (
+        "the fake engine drops every fifth event"
+    )
     assert [e.sequence for e in backend.engine_port.cache_events(4) or []] == [6]
     load = backend.engine_port.load()
     assert load is not None
@@ -125,8 +129,8 @@
 
 
 @pytest.mark.parametrize("kind", [PlainBackend, EngineBackend])
-def test_backend_that_is_gone_did_not_run_anything(kind: type[PlainBackend]) -> None:
-    end = kind(free_address()).call(run(), Sink())
+def test_unreachable_backend_did_not_run_the_request(kind: type[PlainBackend]) -> None:
+    end = kind(free_address()).call(run(), RecordingSink())
     assert isinstance(end, Failed)
     assert (end.refusal.outcome, end.refusal.reason) == (
         Outcome.NOT_RUN,
--- a/src/canvasyoke/direct/_answer_relay.py
+++ b/src/canvasyoke/direct/_answer_relay.py
@@ -55,7 +55,7 @@
                     return MayHaveRun("the answer is too long to collect")
                 answer.wait_at_most(self._time_left(call))
         except ExchangeError as exc:
-            return MayHaveRun(f"the answer broke off: {exc}", is_broken=not exc.is_late)
+            return MayHaveRun(f"the answer broke off: {exc}", is_connection_lost=not exc.is_late)
         head = AnswerHead(answer.status, answer.headers, len(body))
         if answer.status >= _SERVER_ERROR and self._retries.should_retry_failure(call):
             call.saved_failure = SavedFailure(head, bytes(body))
@@ -94,12 +94,12 @@
                     return MayHaveRun("the backend is too slow for the stream")
                 answer.wait_at_most(self._time_left(call))
         except ExchangeError as exc:
-            return MayHaveRun(f"the stream broke off: {exc}", is_broken=not exc.is_late)
+            return MayHaveRun(f"the stream broke off: {exc}", is_connection_lost=not exc.is_late)
         finally:
             if last_event_at:
                 self._roster.record_stream_end(backend)
         if splitter.has_partial_event:
-            return MayHaveRun("the stream ended within an event", is_broken=True)
+            return MayHaveRun("the stream ended within an event", is_connection_lost=True)
         if not call.delivered:
             yield AnswerHead(answer.status, answer.headers, None)
         return None
--- a/src/canvasyoke/direct/_backend_notices.py
+++ b/src/canvasyoke/direct/_backend_notices.py
@@ -108,7 +108,7 @@
 
     def _apply_limit(self, endpoint: Endpoint, notice: BackendNotice) -> RateLimit | None:
         """Set or clear the rate limit as an answer states; return it if it has changed."""
-        if not notice.tells_limit:
+        if not notice.is_limit_known:
             return None
         limit = RateLimit(notice.rate_limit)
         return limit if self.limits.update(_key(endpoint), limit) else None
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -19,7 +19,7 @@
     NotRun,
     NotRunCause,
     OutboundRequest,
-    Sending,
+    SendResult,
 )
 from canvasyoke.direct._admission import NO_LIMIT
 from canvasyoke.direct._answer_relay import AnswerRelay
@@ -154,7 +154,7 @@
         sent = self._port.send(endpoint, self._outbound(call), _CONNECT_TIMEOUT, call.slot)
         self._words.handle(endpoint, sent.notice)
         self._record_reachability(call, endpoint, sent)
-        if isinstance(sent, NotRun) and not sent.has_arrived:
+        if isinstance(sent, NotRun) and not sent.was_received:
             self._roster.record_not_sent(endpoint.run)
         else:
             call.sent_to.add(endpoint.run)
@@ -179,7 +179,7 @@
         self,
         call: DirectCall,
         endpoint: Endpoint,
-        sent: Sending,
+        sent: SendResult,
         failure: NotRun | MayHaveRun | None,
     ) -> None:
         """Record whether the attempt cleared the request or crashed its backend."""
@@ -187,12 +187,16 @@
             if isinstance(sent, BackendAnswer) and sent.status in _SUCCESS and sent.is_framed:
                 self._quarantine.record_answer(call.fingerprint)
             return
-        if not isinstance(failure, MayHaveRun) or not failure.is_broken or _closed_by_entry(call):
+        if (
+            not isinstance(failure, MayHaveRun)
+            or not failure.is_connection_lost
+            or _closed_by_entry(call)
+        ):
             return
         if self._crash_detector.check(call, endpoint, failure.detail) is BackendLiveness.ENDED:
             self._quarantine.record_end(call.fingerprint, endpoint.run)
 
-    def _record_reachability(self, call: DirectCall, endpoint: Endpoint, sent: Sending) -> None:
+    def _record_reachability(self, call: DirectCall, endpoint: Endpoint, sent: SendResult) -> None:
         """Report to the roster whether the failure domain of the backend is reachable.
 
         An exchange that fails without a response is no evidence: its connection was established
@@ -223,7 +227,7 @@
     ) -> None:
         """Record the outcome of an attempt in the roster and in the call."""
         backend = attempt.run
-        if isinstance(failure, NotRun) and failure.has_arrived:
+        if isinstance(failure, NotRun) and failure.was_received:
             if failure.cause is NotRunCause.MOVED:
                 self._roster.record_address_conflict(backend)
             else:
@@ -237,7 +241,10 @@
             self._roster.record_cancelled(backend)
         else:
             self._roster.record_finished(backend, attempt.duration, failed=failure is not None)
-        if isinstance(failure, NotRun) and failure.at_fault not in ("", attempt.chosen.endpoint.id):
+        if isinstance(failure, NotRun) and failure.faulty_backend not in (
+            "",
+            attempt.chosen.endpoint.id,
+        ):
             self._roster.record_group_failure(backend)
         if isinstance(failure, MayHaveRun):
             call.may_have_run = True
--- a/src/canvasyoke/direct/_refusals.py
+++ b/src/canvasyoke/direct/_refusals.py
@@ -118,5 +118,5 @@
     """
     if not isinstance(cause, NotRun):
         return False
-    lacks_rank = cause.at_fault not in ("", call.attempts[-1].chosen.endpoint.id)
+    lacks_rank = cause.faulty_backend not in ("", call.attempts[-1].chosen.endpoint.id)
     return lacks_rank or cause.cause is NotRunCause.MOVED
--- a/src/canvasyoke/direct/_retries.py
+++ b/src/canvasyoke/direct/_retries.py
@@ -30,7 +30,7 @@
             return "no time is left"
         if not self._roster.has_alternative(call.service, call.attempted_runs):
             return "no other backend takes requests"
-        if isinstance(failure, NotRun) and not failure.has_arrived:
+        if isinstance(failure, NotRun) and not failure.was_received:
             return ""  # the request did not reach a backend, so no retry is charged
         return "" if self._charge_retry(call) else "the retry budget is used up"
 
--- a/src/canvasyoke/direct/tests/backoff_simulation.py
+++ b/src/canvasyoke/direct/tests/backoff_simulation.py
@@ -241,7 +241,7 @@
             return
 
         def answered() -> None:
-            notice = BackendNotice(rate_limit=limit, tells_limit=True)
+            notice = BackendNotice(rate_limit=limit, is_limit_known=True)
             change = entry.roster.record_notice(backend.endpoint, notice)
             if change.limit is not None and self.scenario.shares_notices:
                 run, address = backend.endpoint.run, backend.endpoint.address
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from canvasyoke._clock import Clock
-from canvasyoke.backend import DirectBackendPort, OutboundRequest, Sending
+from canvasyoke.backend import DirectBackendPort, OutboundRequest, SendResult
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._call import DirectCall
 from canvasyoke.direct._crash_detector import CrashDetector
@@ -35,15 +35,15 @@
 
 
 class CannedPort(DirectBackendPort):
-    def __init__(self, send: Callable[[], Sending]) -> None:
+    def __init__(self, send: Callable[[], SendResult]) -> None:
         self._send = send
 
     def send(
         self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
+    ) -> SendResult:
         return self._send()
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
         return None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -136,7 +136,7 @@
         self.paces = paces
         self.asked: list[str] = []
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
         self.asked.append(endpoint.id)
         return self.paces.get(endpoint.id, 1.0)
 
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -149,14 +149,14 @@
 
 
 def test_an_answer_without_a_limit_lifts_it(roster: Roster, clock: ManualClock) -> None:
-    assert roster.record_notice(A, BackendNotice(rate_limit=2.0, tells_limit=True)).limit
+    assert roster.record_notice(A, BackendNotice(rate_limit=2.0, is_limit_known=True)).limit
     assert roster.has_limits
     clock.advance(1)
     assert roster.record_notice(A, BackendNotice()).limit is None, (
         "the response head was not received"
     )
     assert roster.has_limits
-    assert roster.record_notice(A, BackendNotice(tells_limit=True)).limit == RateLimit(None)
+    assert roster.record_notice(A, BackendNotice(is_limit_known=True)).limit == RateLimit(None)
     assert not roster.has_limits
 
 
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -17,7 +17,7 @@
     NotRun,
     NotRunCause,
     OutboundRequest,
-    Sending,
+    SendResult,
     UnreadableField,
 )
 from canvasyoke.direct._backend_limits import RateLimit
@@ -64,7 +64,7 @@
 class _Port(DirectBackendPort):
     """Returns scripted answers; acquires the slot as the transport does."""
 
-    def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
+    def __init__(self, answer: Callable[[Endpoint], SendResult]) -> None:
         self._answer = answer
         #: Ids of the backends that a request was written to.
         self.reached: list[str] = []
@@ -73,7 +73,7 @@
 
     def send(
         self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
+    ) -> SendResult:
         self.on_connect(endpoint)
         denial_reason = slot.hold(None)
         if denial_reason:
@@ -81,7 +81,7 @@
         self.reached.append(endpoint.id)
         return self._answer(endpoint)
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
         return None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
@@ -91,7 +91,7 @@
 class _Entry:
     """An entry's forwarder with a scripted port in place of sockets."""
 
-    def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
+    def __init__(self, answer: Callable[[Endpoint], SendResult]) -> None:
         self.clock = ManualClock(start=10_000)
         self.roster = Roster("nbo-a", self.clock, random.Random(1))
         self.roster.merge(
@@ -155,7 +155,7 @@
 
 
 def test_a_retry_avoids_backends_in_backoff() -> None:
-    def answer(endpoint: Endpoint) -> Sending:
+    def answer(endpoint: Endpoint) -> SendResult:
         return REFUSAL if endpoint.id != "b-3" else _Answer(WHOLE)
 
     entry = _Entry(answer)
@@ -194,7 +194,7 @@
 
 
 #: Answers of all kinds that ask to back off.
-ANSWERS: list[tuple[str, Sending]] = [
+ANSWERS: list[tuple[str, SendResult]] = [
     ("a refusal", REFUSAL),
     ("a failure of its own", _Answer(WHOLE, 503, BackendNotice(backoff=3_000))),
     ("a stream that breaks off", _Answer([b"id: 1\n"], notice=BackendNotice(backoff=3_000))),
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("sending", [case[1] for case in ANSWERS], ids=[c[0] for c in ANSWERS])
-def test_notices_in_all_kinds_of_answers_are_applied(sending: Sending) -> None:
+def test_notices_in_all_kinds_of_answers_are_applied(sending: SendResult) -> None:
     entry = _Entry(lambda _: sending)
     entry.run(replace(RESUMABLE, max_attempts=1))
     asking = entry.port.reached[0]
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -14,7 +14,7 @@
     MayHaveRun,
     NotRun,
     NotRunCause,
-    Sending,
+    SendResult,
 )
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._roster import Roster
@@ -59,7 +59,7 @@
         roster.record_connect_failure(endpoint)
 
 
-def run(roster: Roster, send: Callable[[], Sending]) -> None:
+def run(roster: Roster, send: Callable[[], SendResult]) -> None:
     clock = ManualClock(start=10_000)
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, 10_000), clock)
     forwarder = make_forwarder(CannedPort(send), roster, budget, clock)
@@ -72,7 +72,7 @@
 
 
 def test_a_request_without_an_answer_does_not_end_a_cut(roster: Roster) -> None:
-    def send() -> Sending:
+    def send() -> SendResult:
         cut_off(roster)
         return MayHaveRun("no answer came")
 
@@ -117,7 +117,7 @@
         self.is_closed = True
 
 
-def forward(roster: Roster, answers: list[Sending]) -> tuple[list[bytes], list[str]]:
+def forward(roster: Roster, answers: list[SendResult]) -> tuple[list[bytes], list[str]]:
     """Return the events that a caller receives, and the backends that were tried."""
     clock = ManualClock(start=10_000)
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, 10_000), clock)
--- a/src/canvasyoke/direct/tests/test_kept_answers.py
+++ b/src/canvasyoke/direct/tests/test_kept_answers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from canvasyoke._clock import ManualClock
-from canvasyoke.backend import BackendAnswer, MayHaveRun, NotRun, NotRunCause, Sending
+from canvasyoke.backend import BackendAnswer, MayHaveRun, NotRun, NotRunCause, SendResult
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import AnswerEnd, AnswerHead, AnswerPart
 from canvasyoke.direct._roster import Roster
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize(("retry", "expected"), [case[1:] for case in RETRY_OUTCOMES])
 def test_an_error_response_is_returned_unless_the_retry_succeeds(
-    retry: Sending, expected: list[AnswerPart]
+    retry: SendResult, expected: list[AnswerPart]
 ) -> None:
     clock = ManualClock(start=10_000)
     roster = Roster("nbo-a", clock, random.Random(1))
@@ -58,7 +58,7 @@
         [Endpoint(n, "ink", f"{n}:1", "nbo-b", 6, EndpointState.READY, 1) for n in ("b-1", "b-2")],
         1,
     )
-    answers: list[Sending] = [_BufferedAnswer(500, b"failed"), retry]
+    answers: list[SendResult] = [_BufferedAnswer(500, b"failed"), retry]
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, 10_000), clock)
     port = CannedPort(lambda: answers.pop(0))
     call = make_call(READ)
--- a/src/canvasyoke/direct/tests/test_quarantine.py
+++ b/src/canvasyoke/direct/tests/test_quarantine.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from canvasyoke._clock import SECOND, ManualClock
-from canvasyoke.backend import BackendAnswer, MayHaveRun, Sending
+from canvasyoke.backend import BackendAnswer, MayHaveRun, SendResult
 from canvasyoke.direct import _quarantine
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import AnswerEnd, AnswerHead, AnswerPart, DirectCall, ErrorAnswer
@@ -238,7 +238,7 @@
         pass
 
 
-BROKEN = MayHaveRun("reset", is_broken=True)
+BROKEN = MayHaveRun("reset", is_connection_lost=True)
 
 
 class Entry:
@@ -251,14 +251,14 @@
             [Endpoint(n, "ink", f"{n}:1", "nbo-a", 6, EndpointState.READY, 1) for n in names], 1
         )
         self.sent = 0
-        self.answer: Callable[[], Sending] = lambda: BROKEN
+        self.answer: Callable[[], SendResult] = lambda: BROKEN
         budget = FleetRetryBudget(RetryAllowance(0.2, 1_000, 10_000), recorder.clock)
         port = CannedPort(self._send)
         self.forwarder = make_forwarder(
             port, self.roster, budget, recorder.clock, reach, recorder.quarantine
         )
 
-    def _send(self) -> Sending:
+    def _send(self) -> SendResult:
         self.sent += 1
         return self.answer()
 
@@ -295,7 +295,7 @@
     for _ in range(2):
         entry.run(b"deadly", attempts=1)
         recorder.clock.advance(200)
-    answers: list[Sending] = [_Answer(500), BROKEN]
+    answers: list[SendResult] = [_Answer(500), BROKEN]
     entry.answer = lambda: answers.pop(0)
     pieces = entry.run(b"deadly", attempts=3)
     assert recorder.quarantine.quarantined
@@ -306,7 +306,7 @@
     recorder: RecordingQuarantine,
 ) -> None:
     entry = Entry(recorder)
-    answers: list[Sending] = [BROKEN, _Answer()]
+    answers: list[SendResult] = [BROKEN, _Answer()]
     entry.answer = lambda: answers.pop(0)
     assert isinstance(entry.run(b"sound")[-1], AnswerEnd)
     entry.answer = lambda: BROKEN
@@ -319,7 +319,7 @@
 
 
 #: Attempts that are no evidence against their request.
-HARMLESS: list[tuple[str, Sending, Reach, bool]] = [
+HARMLESS: list[tuple[str, SendResult, Reach, bool]] = [
     ("a reset by a backend that goes on", BROKEN, Reach.LISTENING, False),
     ("a cut", BROKEN, Reach.SILENT, False),
     ("time that ran out", MayHaveRun("timed out"), Reach.REFUSED, False),
@@ -332,7 +332,7 @@
     ("sent", "reach", "gone"), [h[1:] for h in HARMLESS], ids=[h[0] for h in HARMLESS]
 )
 def test_failures_without_a_crash_are_no_evidence(
-    recorder: RecordingQuarantine, sent: Sending, reach: Reach, gone: bool
+    recorder: RecordingQuarantine, sent: SendResult, reach: Reach, gone: bool
 ) -> None:
     entry = Entry(recorder, reach)
     entry.answer = lambda: sent
--- a/src/canvasyoke/direct/tests/test_return_times.py
+++ b/src/canvasyoke/direct/tests/test_return_times.py
@@ -15,7 +15,7 @@
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState
 
-LACKS_RANK = NotRun(NotRunCause.FULL, "refused with status 503", at_fault="b-9")
+LACKS_RANK = NotRun(NotRunCause.FULL, "refused with status 503", faulty_backend="b-9")
 FULL = NotRun(NotRunCause.FULL, "refused with status 503")
 MOVED = NotRun(NotRunCause.MOVED, "another run has the address")
 
--- a/src/canvasyoke/platform/__init__.py
+++ b/src/canvasyoke/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to the users' platform: names, formats and calls; nothing here decides.
+"""Adapters to the users' platform: names, formats and calls, without any policy.
 
 Importing the package registers its adapters under the name ``objects``.
 """
--- a/src/canvasyoke/platform/_callers.py
+++ b/src/canvasyoke/platform/_callers.py
@@ -1,4 +1,4 @@
-"""The head of a caller's request as the platform's pages describe it."""
+"""Decodes the line and headers of a caller's request."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from canvasyoke.direct import CALLER_PORTS, CallerPort, CallerRequest, MalformedRequest
 
 _REQUEST_ID: Final = "attempt-id"
-#: Milliseconds that the caller will wait from now on, not a time of day.
-_PATIENCE: Final = "request-deadline"
+#: Milliseconds that the caller waits from now on; not a time of day.
+_DEADLINE: Final = "request-deadline"
 _RESUME_AFTER: Final = "last-event-id"
-_BEARER: Final = "bearer "
-#: Headers that concern one connection, or that the load balancer sets itself.
-_NOT_PASSED_ON: Final = frozenset(
+_BEARER_PREFIX: Final = "bearer "
+#: Hop-by-hop headers, and headers that the load balancer reads or sets itself.
+_NOT_FORWARDED: Final = frozenset(
     {
         "connection",
         "keep-alive",
@@ -44,24 +44,24 @@
     def decode(
         self, method: str, target: str, headers: Mapping[str, str]
     ) -> CallerRequest | MalformedRequest:
-        """Return the request that a head asks for."""
+        """Return the decoded request, or why it is malformed."""
         request_id = headers.get(_REQUEST_ID, "")
         if not request_id:
             return MalformedRequest("the request has no id")
         if not target.isascii() or not target.startswith("/"):
             return MalformedRequest("the path is not one", request_id)
-        patience = headers.get(_PATIENCE, "0")
+        patience = headers.get(_DEADLINE, "0")
         if not patience.isdigit():
             return MalformedRequest("the time limit is not a number", request_id)
         credentials = headers.get("authorization", "")
-        is_bearer = credentials.lower().startswith(_BEARER)
+        is_bearer = credentials.lower().startswith(_BEARER_PREFIX)
         return CallerRequest(
             request_id=request_id,
             method=method,
             host=headers.get("host", "").rsplit(":", 1)[0],
             target=target,
             patience=int(patience),
-            api_key=credentials[len(_BEARER) :].strip() if is_bearer else "",
+            api_key=credentials[len(_BEARER_PREFIX) :].strip() if is_bearer else "",
             resume_after=headers.get(_RESUME_AFTER, ""),
-            headers=tuple((n.title(), v) for n, v in headers.items() if n not in _NOT_PASSED_ON),
+            headers=tuple((n.title(), v) for n, v in headers.items() if n not in _NOT_FORWARDED),
         )
--- a/src/canvasyoke/platform/_config.py
+++ b/src/canvasyoke/platform/_config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration object, decoded into a routing table."""
+"""Decodes the operator's configuration object into a routing table."""
 
 from __future__ import annotations
 
@@ -20,14 +20,12 @@
     index_routes,
 )
 
-_STREAM: Final = "streaming"
-_SAFE: Final = "safe"
+_STREAMING_KIND: Final = "streaming"
+_SAFE_KIND: Final = "safe"
 _BITS_PER_MEGABYTE: Final = 8.0
-_SECOND: Final = 1_000.0
-#: Routes kept from one version to the next: most stay as they are. With 1,440 routes an
-#: entry took 9.2 ms of a processor for each version, and takes 2.0 where nine in ten are
-#: known. Half of the gain is the collector's, which has no part in what is decoded.
-_ROUTES_KEPT: Final = 10_000
+_MILLISECONDS_PER_SECOND: Final = 1_000.0
+#: Number of converted routes that are cached: most are the same in the next version.
+_ROUTE_CACHE_SIZE: Final = 10_000
 
 
 class _Share(msgspec.Struct, frozen=True, gc=False):
@@ -41,12 +39,12 @@
     path_prefix: str = msgspec.field(name="PathPrefix")
     kind: str = msgspec.field(name="Kind")
     timeout: float = msgspec.field(name="TimeoutMs")
-    # Counted up to the first event of a stream, to the whole answer otherwise.
+    # Latency to the first event of a stream, to the complete response otherwise.
     objective: float = msgspec.field(name="TargetLatencyMs", default=0.0)
     priority: int = msgspec.field(name="Priority", default=5)
     service: str = msgspec.field(name="Service", default="")
     shares: tuple[_Share, ...] = msgspec.field(name="TrafficSplit", default=())
-    # The backends that one request may be sent to, not the sends.
+    # Limits the different backends of one request, not the number of times it is sent.
     max_attempts: int = msgspec.field(name="MaxAttempts", default=1)
     is_anonymous: bool = msgspec.field(name="AllowAnonymous", default=False)
     resumable: bool = msgspec.field(name="StreamResume", default=False)
@@ -55,7 +53,7 @@
 
 class _Engine(msgspec.Struct, frozen=True):
     link_mbps: float = msgspec.field(name="LinkMbps", default=0.0)
-    # A set here is a layer whose experts are placed on their own.
+    # A set is a layer whose experts are placed independently of other layers.
     sets: int = 0
     experts: int = 0
     places: int = 0
@@ -94,17 +92,17 @@
 
 
 def decode_table(document: bytes) -> RoutingTable | Unusable:
-    """Return the table that a configuration document holds."""
+    """Decode a configuration document."""
     try:
         config = _DECODER.decode(document)
     except msgspec.MsgspecError as exc:
         return Unusable(f"the configuration cannot be read: {exc}")
-    routes = tuple(_route(route) for route in config.routes)
-    extra = {} if config.limits is None else {"limits": _limits(config.limits)}
+    routes = tuple(_convert_route(route) for route in config.routes)
+    extra = {} if config.limits is None else {"limits": _convert_limits(config.limits)}
     return RoutingTable(
         version=config.version,
         routes=routes,
-        services={s.name: _service(s) for s in config.services},
+        services={s.name: _convert_service(s) for s in config.services},
         organisations={
             key: TableOrganisation(o.name, o.priority)
             for o in config.organisations or ()
@@ -116,17 +114,17 @@
     )
 
 
-@functools.lru_cache(_ROUTES_KEPT)
-def _route(route: _Route) -> TableRoute:
+@functools.lru_cache(_ROUTE_CACHE_SIZE)
+def _convert_route(route: _Route) -> TableRoute:
     shares = tuple(ServiceShare(s.service, s.weight) for s in route.shares)
-    safe = route.kind == _SAFE
+    is_safe = route.kind == _SAFE_KIND
     return TableRoute(
         name=route.name,
         host=route.host,
         path_prefix=route.path_prefix,
         shares=shares or (ServiceShare(route.service, 1),),
-        repeatability=Repeatability.SAFE if safe else Repeatability.ONCE,
-        is_stream=route.kind == _STREAM,
+        repeatability=Repeatability.SAFE if is_safe else Repeatability.ONCE,
+        is_stream=route.kind == _STREAMING_KIND,
         resumable=route.resumable,
         timeout=round(route.timeout),
         objective=round(route.objective),
@@ -137,15 +135,15 @@
     )
 
 
-def _service(service: _Service) -> TableService:
+def _convert_service(service: _Service) -> TableService:
     return TableService(
         service.name,
         service.max_connections,
-        _geometry(service.engine),
+        _rank_geometry(service.engine),
     )
 
 
-def _geometry(engine: _Engine | None) -> RankGeometry | None:
+def _rank_geometry(engine: _Engine | None) -> RankGeometry | None:
     if engine is None or not engine.sets:
         return None
     megabits = engine.expert_mb * _BITS_PER_MEGABYTE
@@ -154,11 +152,13 @@
         experts=engine.experts,
         capacity=engine.places,
         new_limit=engine.spare,
-        copy_time=megabits / engine.link_mbps * _SECOND if engine.link_mbps else 0.0,
+        copy_time=megabits / engine.link_mbps * _MILLISECONDS_PER_SECOND
+        if engine.link_mbps
+        else 0.0,
     )
 
 
-def _limits(limits: _Limits) -> CallerLimits:
+def _convert_limits(limits: _Limits) -> CallerLimits:
     return CallerLimits(
         limits.header_bytes, limits.body_bytes, round(limits.header_time), round(limits.idle_time)
     )
--- a/src/canvasyoke/platform/_endpoints.py
+++ b/src/canvasyoke/platform/_endpoints.py
@@ -1,8 +1,8 @@
-"""Entries of backends in the platform's store, each read alone.
+"""Decodes the entries of backends in the platform's store, each independently.
 
-Others may write there too. An entry that is not as a backend writes it names none; it must
-not hide the others: a list that was read whole or not at all left every process with the
-backends it had known, those that had left since among them.
+Other programs can write to the store too. An invalid entry is reported and names no backend,
+but must not prevent the others from being decoded: otherwise all processes would keep an
+outdated list that includes backends which have left.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from canvasyoke.platform._json_parts import PartsError, object_parts
+from canvasyoke.platform._json_parts import JsonSplitError, split_object
 from canvasyoke.state import (
     Endpoint,
     EndpointChanges,
@@ -27,24 +27,24 @@
     store_position,
 )
 
-#: What reading what others wrote may raise; nested lists without end are the last.
-UNREADABLE: Final = (msgspec.MsgspecError, PartsError, RecursionError)
-#: Longest name or other text taken; what processes tell each other has the same limit.
-_LONGEST_TEXT: Final = 200
+#: Exceptions of decoding untrusted JSON; too deep nesting raises ``RecursionError``.
+DECODE_ERRORS: Final = (msgspec.MsgspecError, JsonSplitError, RecursionError)
+#: Maximum length of a name or other text; messages between processes have the same limit.
+_MAX_TEXT_LENGTH: Final = 200
 _STATES: Final = {"ready": EndpointState.READY, "draining": EndpointState.LEAVING}
 
-_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_TEXT)]
+_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_TEXT_LENGTH)]
 
 
 class Metadata(msgspec.Struct, frozen=True):
-    """What the store itself says of an object."""
+    """Metadata of a stored object."""
 
     name: _Text = msgspec.field(name="Name")
     revision: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="Revision", default=0)
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object of any kind; its body is read by whoever knows the kind."""
+    """An object of any kind; its body is decoded separately, according to the kind."""
 
     meta: Metadata = msgspec.field(name="Metadata")
     spec: msgspec.Raw = msgspec.field(name="Spec", default=msgspec.Raw(b"null"))
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableObject:
-    """An object of which only the store's own word can be read."""
+    """An object of which only the metadata can be decoded."""
 
     name: str
     revision: int
-    #: What is wrong with the rest.
+    #: Why the object cannot be decoded.
     fault: str
 
 
@@ -65,8 +65,8 @@
     gone: bool = False
 
 
-class _Server(msgspec.Struct, frozen=True):
-    """All that a backend writes; it always writes all of it, but for its start."""
+class _EndpointSpec(msgspec.Struct, frozen=True):
+    """Body of a backend's entry; all fields but the start time are required."""
 
     service: _Text = msgspec.field(name="Service")
     address: _Text = msgspec.field(name="Address")
@@ -80,28 +80,28 @@
 
 
 def read_object(data: bytes) -> StoredObject | UnreadableObject | Unusable:
-    """Return the object in ``data``, or what it is called where only that can be read."""
+    """Decode an object, or just its metadata if the rest is invalid."""
     try:
         return msgspec.json.decode(data, type=StoredObject)
-    except UNREADABLE as exc:
+    except DECODE_ERRORS as exc:
         fault = str(exc)
     try:
-        meta = msgspec.json.decode(object_parts(data)["Metadata"], type=Metadata)
-    except (*UNREADABLE, KeyError):
-        return Unusable(f"an object without a name that can be read: {fault}")
+        meta = msgspec.json.decode(split_object(data)["Metadata"], type=Metadata)
+    except (*DECODE_ERRORS, KeyError):
+        return Unusable(f"the object's name cannot be read: {fault}")
     return UnreadableObject(meta.name, meta.revision, fault)
 
 
 def read_name(data: bytes) -> str:
-    """Return an object's name, however long; empty when not even that can be read."""
+    """Return an object's name, of any length; empty if it cannot be decoded."""
     try:
-        return msgspec.json.decode(object_parts(object_parts(data)["Metadata"])["Name"], type=str)
-    except (*UNREADABLE, KeyError):
+        return msgspec.json.decode(split_object(split_object(data)["Metadata"])["Name"], type=str)
+    except (*DECODE_ERRORS, KeyError):
         return ""
 
 
 def read_list(items: Iterable[bytes], position: StorePosition) -> EndpointList:
-    """Return the backends that a list names, and which entries name none."""
+    """Decode the entries of a list into endpoints and invalid entries."""
     era = era_of(position)
     endpoints = []
     unreadable = []
@@ -119,28 +119,28 @@
 def read_changes(
     events: Iterable[bytes], position: StorePosition, era: int = 0
 ) -> EndpointChanges | Unusable:
-    """Return what a watch has brought, in order; unusable where a name cannot be read.
+    """Decode the events of a watch, in order; unusable if the name of one cannot be decoded.
 
-    A removal has no revision of its own. It came to be before the event that follows it, so
-    that a backend which is back within the same batch is not taken for older than its
-    removal.
+    A removal has no revision of its own, only that of the removed object. It is placed right
+    before the changes that follow it, so that a backend which is added again in the same batch
+    is newer than its removal.
     """
     changes: list[Endpoint | EndpointGone] = []
-    newest = position
+    max_position = position
     for event in reversed([_read_event(data, era) for data in events]):
         match event:
             case Unusable():
                 return event
             case Endpoint():
-                newest = min(newest, event.position - 1)
+                max_position = min(max_position, event.position - 1)
                 changes.append(event)
             case EndpointGone(name, own_position, fault):
-                changes.append(EndpointGone(name, max(newest, own_position), fault))
+                changes.append(EndpointGone(name, max(max_position, own_position), fault))
     return EndpointChanges(tuple(reversed(changes)), position)
 
 
 def _read_event(data: bytes, era: int) -> Endpoint | EndpointGone | Unusable:
-    event = _split_event(data)
+    event = _decode_event(data)
     if isinstance(event, Unusable):
         return event
     item = bytes(event.object)
@@ -155,33 +155,33 @@
             return fault
 
 
-def _split_event(data: bytes) -> _Event | Unusable:
-    """Return an event with its object as it stands, which need not be JSON."""
+def _decode_event(data: bytes) -> _Event | Unusable:
+    """Decode an event but not its object, which may be invalid JSON."""
     try:
         return msgspec.json.decode(data, type=_Event)
-    except UNREADABLE:
-        pass  # what is wrong may be in the object alone
+    except DECODE_ERRORS:
+        pass  # the object alone may be invalid
     try:
-        parts = object_parts(data)
+        parts = split_object(data)
         is_gone = msgspec.json.decode(parts.get("gone", b"false"), type=bool)
         return _Event(msgspec.Raw(parts["object"]), is_gone)
-    except (*UNREADABLE, KeyError) as exc:
+    except (*DECODE_ERRORS, KeyError) as exc:
         return Unusable(f"an event cannot be read: {exc}")
 
 
 def _read_endpoint(data: bytes, era: int) -> Endpoint | EndpointGone | Unusable:
-    found = read_object(data)
-    if isinstance(found, UnreadableObject):
-        return EndpointGone(found.name, store_position(era, found.revision), found.fault)
-    if isinstance(found, Unusable):
-        return found
-    name, position = found.meta.name, store_position(era, found.meta.revision)
+    stored = read_object(data)
+    if isinstance(stored, UnreadableObject):
+        return EndpointGone(stored.name, store_position(era, stored.revision), stored.fault)
+    if isinstance(stored, Unusable):
+        return stored
+    name, position = stored.meta.name, store_position(era, stored.meta.revision)
     try:
-        server = msgspec.json.decode(found.spec, type=_Server)
-    except UNREADABLE as exc:
+        server = msgspec.json.decode(stored.spec, type=_EndpointSpec)
+    except DECODE_ERRORS as exc:
         return EndpointGone(name, position, str(exc))
     if not _is_address(server.address):
-        return EndpointGone(name, position, f"no address: {server.address}")
+        return EndpointGone(name, position, f"invalid address: {server.address}")
     return Endpoint(
         id=name,
         service=server.service,
@@ -195,7 +195,7 @@
 
 
 def _is_address(text: str) -> bool:
-    """Tell whether a text is ``IP:PORT``."""
+    """Return whether ``text`` is an IPv4 address and port that can be connected to."""
     host, _, port = text.rpartition(":")
     try:
         address = ipaddress.IPv4Address(host)
--- a/src/canvasyoke/platform/_engine.py
+++ b/src/canvasyoke/platform/_engine.py
@@ -1,4 +1,4 @@
-"""Requests to engines and plain services as the platform's pages describe them."""
+"""HTTP requests to engines and plain services with the platform's headers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     NotRun,
     NotRunCause,
     OutboundRequest,
-    Sending,
+    SendResult,
 )
 from canvasyoke.experts import RankReport, RankUnreachable
 from canvasyoke.platform._notices import LEAVING_HEADER, LIMIT_HEADER, LOAD_HEADER, read_notice
@@ -28,20 +28,20 @@
 _ORGANISATION: Final = "Tenant"
 _PRIORITY: Final = "Priority"
 _RESUME_AFTER: Final = "Last-Event-Id"
-#: Proves that an answer is the backend's own.
+#: Proves that the backend itself produced a response.
 _SEAL: Final = "Response-Seal"
-#: Present only when the request was not run.
-_NOT_RUN: Final = "Not-Executed"
-_AT_FAULT: Final = "At-Server"
+#: Present only if the request was not executed.
+_NOT_EXECUTED: Final = "Not-Executed"
+_FAULTY_BACKEND: Final = "At-Server"
 _MISDIRECTED: Final = 421
 _TOO_MANY: Final = 429
 _UNAVAILABLE: Final = 503
 _SUCCESS: Final = range(200, 300)
-#: The engine's scale of priorities.
-_LEAST_URGENT: Final = 9
-#: Headers of an answer that concern the one connection it came on, and those that are
+#: Largest value of the priority header; 0 is the most urgent.
+_LOWEST_PRIORITY: Final = 9
+#: Response headers that are not forwarded to the caller: hop-by-hop headers and those meant
 #: for the load balancer.
-_NOT_PASSED_BACK: Final = frozenset(
+_NOT_FORWARDED: Final = frozenset(
     {
         "connection",
         "keep-alive",
@@ -63,11 +63,11 @@
 
 
 class _EngineAnswer(BackendAnswer):
-    """An answer that bears the backend's seal or is a failure of its own."""
+    """A response of the backend itself: a sealed success, or a failure."""
 
     def __init__(self, exchange_: Exchange, notice: BackendNotice) -> None:
         self.status = exchange_.status
-        self.headers = [h for h in exchange_.headers if h[0].lower() not in _NOT_PASSED_BACK]
+        self.headers = [h for h in exchange_.headers if h[0].lower() not in _NOT_FORWARDED]
         self.notice = notice
         self.is_framed = exchange_.is_framed
         self._exchange = exchange_
@@ -77,7 +77,7 @@
         return self._exchange.pieces()
 
     def wait_at_most(self, duration: int) -> None:
-        """Bound each further read."""
+        """Limit each further read to ``duration`` milliseconds."""
         self._exchange.wait_at_most(duration)
 
     def close(self) -> None:
@@ -87,12 +87,12 @@
 
 @DIRECT_BACKENDS.register("objects")
 class ObjectsBackendPort(DirectBackendPort):
-    """HTTP with the platform's headers."""
+    """Sends requests over HTTP with the platform's headers."""
 
     def send(
         self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
-        """Send ``request`` to ``endpoint``."""
+    ) -> SendResult:
+        """Send ``request`` to ``endpoint`` and classify its response."""
         sent = exchange(
             endpoint.address,
             request.method,
@@ -108,16 +108,16 @@
         if isinstance(sent, Withdrawn):
             return NotRun(NotRunCause.WITHDRAWN, sent.detail)
         if isinstance(sent, Sent):
-            return MayHaveRun(sent.detail, is_broken=not sent.is_late)
-        return _classify(sent, request.request_id)
+            return MayHaveRun(sent.detail, is_connection_lost=not sent.is_late)
+        return _classify_answer(sent, request.request_id)
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
-        """Ask the engine; a plain service does not tell."""
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
+        """Request the engine's report; a plain service has none."""
         report = ObjectsRankPort(endpoint.address).report()
         return report.slowdown if isinstance(report, RankReport) else None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
-        """Ask the engine; a plain service has no report and no group."""
+        """Request the engine's report; a plain service has neither a report nor a group."""
         report = ObjectsRankPort(endpoint.address).report()
         if isinstance(report, RankUnreachable):
             return None
@@ -130,7 +130,7 @@
         (_REQUEST_ID, request.request_id),
         (_TIME_LEFT, str(request.time_left)),
         (_EXPECTED_BACKEND, endpoint.id),
-        (_PRIORITY, str(min(_LEAST_URGENT, max(0, request.priority)))),
+        (_PRIORITY, str(min(_LOWEST_PRIORITY, max(0, request.priority)))),
     ]
     if request.organisation:
         headers.append((_ORGANISATION, request.organisation))
@@ -139,35 +139,35 @@
     return headers
 
 
-def _classify(answer: Exchange, request_id: str) -> Sending:
-    """Tell an answer from a refusal and from bytes that belong to something else."""
+def _classify_answer(answer: Exchange, request_id: str) -> SendResult:
+    """Distinguish a response from a refusal and from a response to something else."""
     notice = read_notice(answer.header, answer.status)
-    refused = _refusal(answer, notice)
+    refused = _read_refusal(answer, notice)
     if refused is not None:
         answer.close()
         return refused
-    fault = _fault(answer, request_id)
+    fault = _find_mismatch(answer, request_id)
     if fault:
         answer.close()
         return MayHaveRun(fault, notice=notice)
     return _EngineAnswer(answer, notice)
 
 
-def _refusal(answer: Exchange, notice: BackendNotice) -> NotRun | None:
+def _read_refusal(answer: Exchange, notice: BackendNotice) -> NotRun | None:
     status = answer.status
-    at_fault = answer.header(_AT_FAULT) or ""
+    faulty_backend = answer.header(_FAULTY_BACKEND) or ""
     if status == _MISDIRECTED:
-        # What the other run says of itself is not said of the one that was called.
-        return NotRun(NotRunCause.MOVED, "another run has the address", at_fault)
-    if answer.header(_NOT_RUN) is None or status in _SUCCESS:
+        # The notice is left out: it describes another run than the one that was called.
+        return NotRun(NotRunCause.MOVED, "another run has the address", faulty_backend)
+    if answer.header(_NOT_EXECUTED) is None or status in _SUCCESS:
         return None
     full = status in (_TOO_MANY, _UNAVAILABLE)
     cause = NotRunCause.FULL if full else NotRunCause.REJECTED
-    return NotRun(cause, f"refused with status {status}", at_fault, notice)
+    return NotRun(cause, f"refused with status {status}", faulty_backend, notice)
 
 
-def _fault(answer: Exchange, request_id: str) -> str:
-    """Return why an answer cannot be the one to this request; empty if it can."""
+def _find_mismatch(answer: Exchange, request_id: str) -> str:
+    """Return why a response cannot belong to this request; empty if it can."""
     echoed = answer.header(_REQUEST_ID)
     if echoed is not None and echoed != request_id:
         return "the answer is to another request"
--- a/src/canvasyoke/platform/_json_parts.py
+++ b/src/canvasyoke/platform/_json_parts.py
@@ -1,8 +1,8 @@
-"""Splits JSON into its parts without reading what is in them.
+"""Splits JSON arrays and objects into their parts without decoding the parts.
 
-A reader of the whole stops at the first part that is none: bytes that are no text, half of
-a surrogate pair, a number that is none, lists nested without end. Here just strings and
-brackets are told apart, so that one such part can be left out and the others read.
+A JSON decoder rejects a whole document for one invalid part, such as invalid UTF-8, an
+unpaired surrogate, an invalid number or too deep nesting. This module recognises only
+strings, brackets and separators, so that the valid parts can be decoded one by one.
 """
 
 from __future__ import annotations
@@ -14,52 +14,52 @@
 import msgspec
 
 _TOKEN: Final = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{},:]', re.DOTALL)
-_OPENS: Final = b"[{"
-_CLOSES: Final = b"]}"
+_OPENING: Final = b"[{"
+_CLOSING: Final = b"]}"
 
 
-class PartsError(ValueError):
-    """The brackets do not match, or there is no list or object."""
+class JsonSplitError(ValueError):
+    """The data is not an array or object with balanced brackets."""
 
 
-def list_parts(data: bytes) -> list[bytes]:
-    """Return the items of a list, each as it stands."""
-    return [data[begin:end].strip() for begin, _, end in _parts(data, b"[", b"]")]
+def split_list(data: bytes) -> list[bytes]:
+    """Return the items of an array, undecoded."""
+    return [data[start:end].strip() for start, _, end in _split(data, b"[", b"]")]
 
 
-def object_parts(data: bytes) -> dict[str, bytes]:
-    """Return the values of an object by name, each as it stands; unreadable names are left out."""
+def split_object(data: bytes) -> dict[str, bytes]:
+    """Return the values of an object by name, undecoded; skips names that are invalid."""
     found = {}
-    for begin, colon, end in _parts(data, b"{", b"}"):
+    for start, colon, end in _split(data, b"{", b"}"):
         try:
-            name = msgspec.json.decode(data[begin:colon], type=str)
+            name = msgspec.json.decode(data[start:colon], type=str)
         except msgspec.MsgspecError:
             continue
         found[name] = data[colon + 1 : end].strip()
     return found
 
 
-def _parts(data: bytes, opening: bytes, closing: bytes) -> Iterator[tuple[int, int, int]]:
-    """Yield where each part begins, where its first colon is, and where it ends."""
-    begin = data.find(opening) + 1
-    if not begin or data[: begin - 1].strip():
-        raise PartsError(f"no {opening.decode()}")
+def _split(data: bytes, opening: bytes, closing: bytes) -> Iterator[tuple[int, int, int]]:
+    """Yield the offsets of each part's start, first colon (-1 if none) and end."""
+    start = data.find(opening) + 1
+    if not start or data[: start - 1].strip():
+        raise JsonSplitError(f"expected {opening.decode()}")
     depth, colon = 1, -1
-    for token in _TOKEN.finditer(data, begin):
-        sign = token.group()
-        if sign in _OPENS:
+    for token in _TOKEN.finditer(data, start):
+        symbol = token.group()
+        if symbol in _OPENING:
             depth += 1
-        elif sign in _CLOSES:
+        elif symbol in _CLOSING:
             depth -= 1
         at_top = depth == 1
-        if at_top and sign == b":" and colon < 0:
+        if at_top and symbol == b":" and colon < 0:
             colon = token.start()
-        if (at_top and sign == b",") or not depth:
-            if data[begin : token.start()].strip():
-                yield begin, colon, token.start()
-            begin, colon = token.end(), -1
+        if (at_top and symbol == b",") or not depth:
+            if data[start : token.start()].strip():
+                yield start, colon, token.start()
+            start, colon = token.end(), -1
         if not depth:
-            if sign != closing:
+            if symbol != closing:
                 break
             return
-    raise PartsError("brackets do not match")
+    raise JsonSplitError("unbalanced brackets")
--- a/src/canvasyoke/platform/_notices.py
+++ b/src/canvasyoke/platform/_notices.py
@@ -1,4 +1,4 @@
-"""Reads what an engine says of itself, from the headers of any of its answers."""
+"""Decodes the notice that an engine sends in the headers of its responses."""
 
 from __future__ import annotations
 
@@ -10,44 +10,48 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.backend import BackendNotice, ReportedLoad, UnreadableField
 
-#: Running, waiting and slots, joined by commas.
+#: Running requests, waiting requests and slots, separated by commas.
 LOAD_HEADER: Final = "Server-Load"
-#: Seconds for which the engine wants nothing from the machine that it answers.
+#: Seconds for which the engine asks the machine that it answers to send no requests.
 _BACKOFF_HEADER: Final = "Retry-After"
-#: ``1`` while the engine is about to end.
+#: ``1`` if the engine is about to shut down, otherwise ``0``.
 LEAVING_HEADER: Final = "Server-Leaving"
-#: Requests a second that the engine takes from all machines together.
+#: Requests per second that the engine accepts from all machines together.
 LIMIT_HEADER: Final = "Server-Limit"
-#: Statuses with which an engine turns a request away; on others the time that it names
-#: is meant for the caller.
-_TURNED_AWAY: Final = frozenset({429, 503})
-#: A decimal number as the platform writes it: no sign, no exponent, no date.
+#: Statuses with which an engine refuses a request. With any other status the backoff is meant
+#: for the caller.
+_REFUSAL_STATUSES: Final = frozenset({429, 503})
+#: Decimal number without sign or exponent, as the platform defines it.
 _DECIMAL: Final = re.compile(r"\d+(\.\d+)?", re.ASCII)
-#: Characters of an unreadable text that are kept for the log.
-_TEXT_LIMIT: Final = 40
+#: Maximum number of characters of an invalid value that are logged.
+_MAX_LOGGED_TEXT: Final = 40
 
 T = TypeVar("T")
 
 
 def read_notice(header: Callable[[str], str | None], status: int) -> BackendNotice:
-    """Return the notice in an answer's head; ``header`` gives the text of a header."""
-    fields = _Fields(header)
-    load = fields.read("load", LOAD_HEADER, _load)
-    leaving = fields.read("is_leaving", LEAVING_HEADER, _flag)
-    limit = fields.read("rate_limit", LIMIT_HEADER, _decimal)
-    backoff = fields.read("backoff", _BACKOFF_HEADER, _decimal) if status in _TURNED_AWAY else None
+    """Return the notice in a response; ``header`` returns the value of a header."""
+    reader = _HeaderReader(header)
+    load = reader.read("load", LOAD_HEADER, _parse_load)
+    leaving = reader.read("is_leaving", LEAVING_HEADER, _parse_flag)
+    limit = reader.read("rate_limit", LIMIT_HEADER, _parse_decimal)
+    backoff = (
+        reader.read("backoff", _BACKOFF_HEADER, _parse_decimal)
+        if status in _REFUSAL_STATUSES
+        else None
+    )
     return BackendNotice(
         load=load,
         backoff=round((backoff or 0) * SECOND),
         is_leaving=bool(leaving),
         rate_limit=limit,
-        tells_limit=all(field.name != "rate_limit" for field in fields.unreadable),
-        unreadable=tuple(fields.unreadable),
+        is_limit_known=all(field.name != "rate_limit" for field in reader.unreadable),
+        unreadable=tuple(reader.unreadable),
     )
 
 
-class _Fields:
-    """Reads one header after the other and keeps those that make no sense."""
+class _HeaderReader:
+    """Parses headers and collects those with an invalid value."""
 
     def __init__(self, header: Callable[[str], str | None]) -> None:
         self._header = header
@@ -60,22 +64,22 @@
         try:
             return parse(text.strip())
         except ValueError:
-            self.unreadable.append(UnreadableField(name, text[:_TEXT_LIMIT]))
+            self.unreadable.append(UnreadableField(name, text[:_MAX_LOGGED_TEXT]))
             return None
 
 
-def _load(text: str) -> ReportedLoad:
+def _parse_load(text: str) -> ReportedLoad:
     running, waiting, slots = (int(part) for part in text.split(","))
     return ReportedLoad(running, waiting, slots)
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError(text)
     return text == "1"
 
 
-def _decimal(text: str) -> float:
+def _parse_decimal(text: str) -> float:
     if not _DECIMAL.fullmatch(text):
         raise ValueError(text)
     number = float(text)
--- a/src/canvasyoke/platform/_ranks.py
+++ b/src/canvasyoke/platform/_ranks.py
@@ -1,4 +1,4 @@
-"""Reports, counts and orders of an engine that is a rank of a group."""
+"""HTTP client for reports, expert counts and orders of an engine that is a rank of a group."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     MapOrderKind.HOLD: "hold",
     MapOrderKind.RELEASE: "go",
 }
-_OPEN: Final = "open"
+_OPEN_STATE: Final = "open"
 
 
 class _Group(msgspec.Struct, frozen=True):
@@ -54,16 +54,16 @@
     group: _Group | None = None
     size: int = 0
     step: int | None = None
-    # Versions here; an object in the answer to a request for lists.
+    # A version here; an object in the response of ``/picked?lists=1``.
     map_version: int | None = msgspec.field(name="map", default=None)
     prepared: int | None = None
     armed: _Armed | None = None
     held_step: int | None = msgspec.field(name="held", default=None)
-    # How many times as long as usual the engine takes for the same work.
+    # Processing time relative to the usual one for the same work.
     pace: float | None = None
 
 
-class _Counts(msgspec.Struct, frozen=True):
+class _CountsResponse(msgspec.Struct, frozen=True):
     counts: list[int] = msgspec.field(name="Counts")
 
 
@@ -72,7 +72,7 @@
     experts: list[list[int]]
 
 
-class _Lists(msgspec.Struct, frozen=True):
+class _MapResponse(msgspec.Struct, frozen=True):
     map: _Map
 
 
@@ -81,7 +81,7 @@
 
 @RANK_PORTS.register("objects")
 class ObjectsRankPort(RankPort):
-    """One engine, over connections that are kept: engines count new ones."""
+    """Client of one engine. Connections are reused, since engines count new ones."""
 
     def __init__(self, address: str, timeout: int = REMOTE_TIMEOUT) -> None:
         host, port = address.rsplit(":", 1)
@@ -91,52 +91,52 @@
 
     def report(self) -> RankReport | RankUnreachable | None:
         """Return the rank's report."""
-        seen = self._get("/report", _Report)
-        if isinstance(seen, RankUnreachable):
-            return seen
-        if seen.group is None:
+        response = self._get("/report", _Report)
+        if isinstance(response, RankUnreachable):
+            return response
+        if response.group is None:
             return None
         return RankReport(
-            group=seen.group.name,
-            rank=seen.group.rank,
-            size=seen.size,
-            epoch=seen.group.epoch,
-            is_open=seen.group.state == _OPEN,
-            step=seen.step or 0,
-            map_version=seen.map_version or 0,
-            prepared=seen.prepared or 0,
-            armed=Armed(seen.armed.version, seen.armed.step) if seen.armed else None,
-            held_step=seen.held_step or 0,
-            slowdown=max(1.0, seen.pace or 1.0),
+            group=response.group.name,
+            rank=response.group.rank,
+            size=response.size,
+            epoch=response.group.epoch,
+            is_open=response.group.state == _OPEN_STATE,
+            step=response.step or 0,
+            map_version=response.map_version or 0,
+            prepared=response.prepared or 0,
+            armed=Armed(response.armed.version, response.armed.step) if response.armed else None,
+            held_step=response.held_step or 0,
+            slowdown=max(1.0, response.pace or 1.0),
         )
 
     def counts(self) -> tuple[int, ...] | RankUnreachable:
-        """Return the counts since the rank's start."""
-        seen = self._get("/picked", _Counts)
-        return seen if isinstance(seen, RankUnreachable) else tuple(seen.counts)
+        """Return the tokens of each expert since the rank's start."""
+        response = self._get("/picked", _CountsResponse)
+        return response if isinstance(response, RankUnreachable) else tuple(response.counts)
 
     def current_map(self) -> RankMap | RankUnreachable:
-        """Return what the rank holds."""
-        seen = self._get("/picked?lists=1", _Lists)
-        if isinstance(seen, RankUnreachable):
-            return seen
-        return RankMap(seen.map.version, tuple(tuple(layer) for layer in seen.map.experts))
+        """Return the rank's part of the map in force."""
+        response = self._get("/picked?lists=1", _MapResponse)
+        if isinstance(response, RankUnreachable):
+            return response
+        return RankMap(response.map.version, tuple(tuple(layer) for layer in response.map.experts))
 
     def order(self, order: MapOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send an order and return its outcome."""
         answer = self._call("POST", "/order", msgspec.json.encode(_order_body(order)))
         if isinstance(answer, RankUnreachable):
             return OrderOutcome.UNKNOWN
         return _OUTCOMES.get(answer.status, OrderOutcome.REJECTED)
 
-    def _get(self, path: str, kind: type[BodyT]) -> BodyT | RankUnreachable:
+    def _get(self, path: str, body_type: type[BodyT]) -> BodyT | RankUnreachable:
         answer = self._call("GET", path)
         if isinstance(answer, RankUnreachable):
             return answer
         if answer.status != _OK:
             return RankUnreachable(f"status {answer.status}")
         try:
-            return msgspec.json.decode(answer.data, type=kind)
+            return msgspec.json.decode(answer.data, type=body_type)
         except msgspec.MsgspecError as exc:
             return RankUnreachable(f"the answer cannot be read: {exc}")
 
@@ -161,6 +161,6 @@
     if order.kind in (MapOrderKind.ARM, MapOrderKind.HOLD, MapOrderKind.RELEASE):
         body["step"] = order.step
     if order.kind is MapOrderKind.PREPARE:
-        # By layer and rank on the wire, by rank and layer here.
+        # Indexed by layer and rank on the wire, by rank and layer in an order.
         body["map"] = list(zip(*order.layers_by_rank, strict=True))
     return body
--- a/src/canvasyoke/platform/_store.py
+++ b/src/canvasyoke/platform/_store.py
@@ -1,7 +1,4 @@
-"""The platform's store: lists in pages, watches, conditional writes.
-
-The only client of the store; every process makes its calls through one of these.
-"""
+"""Client of the platform's object store: paged lists, watches and conditional writes."""
 
 from __future__ import annotations
 
@@ -15,7 +12,7 @@
 from canvasyoke._clock import SECOND
 from canvasyoke.platform._config import decode_table
 from canvasyoke.platform._endpoints import (
-    UNREADABLE,
+    DECODE_ERRORS,
     StoredObject,
     UnreadableObject,
     read_changes,
@@ -23,7 +20,7 @@
     read_name,
     read_object,
 )
-from canvasyoke.platform._json_parts import list_parts, object_parts
+from canvasyoke.platform._json_parts import split_list, split_object
 from canvasyoke.state import (
     CALL_PATIENCE,
     FLEET_STORES,
@@ -44,40 +41,39 @@
     store_position,
 )
 
-#: Milliseconds for a connection to the store, which takes one round trip.
+#: Milliseconds to connect to the store.
 _CONNECT_TIMEOUT: Final = 1 * SECOND
-#: Milliseconds after its end that a watch without an answer is believed to go on. The
-#: store answers within 240 ms when it is slow. A connection can fall silent for good
-#: without a reset; with the time that a watch waits this comes to 2.5 s, less than the 3 s
-#: after which the tightest operator holds an entry to what the store has told since.
+#: Milliseconds to wait for the response of a watch after its own wait has elapsed. A
+#: connection can stop responding without a reset. Both times add up to 2.5 s, less than the
+#: shortest time within which an operator requires an entry to apply changes, 3 s.
 _WATCH_GRACE: Final = 700
-#: Connections kept: two watches and one call.
-_CONNECTIONS: Final = 3
+#: Connections kept open: two watches and one other call.
+_POOL_SIZE: Final = 3
 _OK: Final = 200
 _CREATED: Final = 201
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
 _GONE: Final = 410
 
-#: How many times the store has come back from an older copy; in all its answers.
-_ERA: Final = "Store-Era"
+#: Number of times that the store was restored from an older copy; part of every response.
+_ERA_HEADER: Final = "Store-Era"
 _ENDPOINTS: Final = "servers"
 _CONFIG: Final = "config"
 _CONFIG_NAME: Final = "main"
 
 
-class _Rest(msgspec.Struct, frozen=True):
-    """What an answer with several items says beside them."""
+class _Envelope(msgspec.Struct, frozen=True):
+    """Fields of a response with several items, without the items."""
 
     revision: int = msgspec.field(name="at")
     more: bool | str = False
 
 
-class _Page(_Rest, frozen=True, kw_only=True):
+class _Page(_Envelope, frozen=True, kw_only=True):
     items: list[msgspec.Raw] = msgspec.field(name="Items")
 
 
-class _Events(_Rest, frozen=True, kw_only=True):
+class _Events(_Envelope, frozen=True, kw_only=True):
     items: list[msgspec.Raw] = msgspec.field(name="events")
 
 
@@ -86,23 +82,21 @@
     gone: bool = False
 
 
-class _NoteOut(msgspec.Struct, frozen=True):
+class _NoteWrite(msgspec.Struct, frozen=True):
     meta: dict[str, Any] = msgspec.field(name="Metadata")
     spec: Any = msgspec.field(name="Spec")
 
 
 @FLEET_STORES.register("objects")
 class ObjectsFleetStore(FleetStore):
-    """Calls to ``/objects/KIND``."""
+    """Client of the store's API under ``/objects/KIND``."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
-        self._pool = urllib3.HTTPConnectionPool(
-            host, int(port), maxsize=_CONNECTIONS, retries=False
-        )
+        self._pool = urllib3.HTTPConnectionPool(host, int(port), maxsize=_POOL_SIZE, retries=False)
 
     def endpoints(self, patience: int = CALL_PATIENCE) -> EndpointList | Unavailable | Unusable:
-        """Return every endpoint."""
+        """Return all endpoints."""
         listed = self._list(_ENDPOINTS, patience=patience)
         if isinstance(listed, Unavailable | Unusable):
             return listed
@@ -110,13 +104,13 @@
         return read_list(items, position)
 
     def watch_endpoints(self, after: StorePosition, wait: int) -> EndpointsSeen:
-        """Wait for changes of backends."""
-        seen = self._watch(_ENDPOINTS, after, wait)
-        if not isinstance(seen, _Events):
-            return seen
+        """Wait up to ``wait`` milliseconds for changes of endpoints."""
+        result = self._watch(_ENDPOINTS, after, wait)
+        if not isinstance(result, _Events):
+            return result
         era = era_of(after)
-        events = [bytes(event) for event in seen.items]
-        return read_changes(events, store_position(era, seen.revision), era)
+        events = [bytes(event) for event in result.items]
+        return read_changes(events, store_position(era, result.revision), era)
 
     def table(self, patience: int = CALL_PATIENCE) -> TableSeen:
         """Return the configuration in the store."""
@@ -124,37 +118,37 @@
         if isinstance(listed, Unavailable | Unusable):
             return listed
         items, position = listed
-        return _table_in([read_object(item) for item in items], position)
+        return _find_table([read_object(item) for item in items], position)
 
     def watch_table(self, after: StorePosition, wait: int) -> TableSeen:
-        """Wait for another configuration."""
-        seen = self._watch(_CONFIG, after, wait)
-        if not isinstance(seen, _Events):
-            return seen
+        """Wait up to ``wait`` milliseconds for a change of the configuration."""
+        result = self._watch(_CONFIG, after, wait)
+        if not isinstance(result, _Events):
+            return result
         try:
-            events = [msgspec.json.decode(event, type=_TableEvent) for event in seen.items]
-        except UNREADABLE as exc:
+            events = [msgspec.json.decode(event, type=_TableEvent) for event in result.items]
+        except DECODE_ERRORS as exc:
             return Unusable(f"a change of the configuration cannot be read: {exc}")
-        position = store_position(era_of(after), seen.revision)
-        return _table_in([e.object for e in events if not e.gone], position)
+        position = store_position(era_of(after), result.revision)
+        return _find_table([e.object for e in events if not e.gone], position)
 
     def parse_table(self, document: bytes) -> RoutingTable | Unusable:
-        """Return the table in ``document``."""
+        """Decode the routing table in ``document``."""
         return decode_table(document)
 
     def notes(self, kind: str, may_be_old: bool = False) -> list[Note] | Unavailable | Unusable:
-        """Return the system's own objects of ``kind``."""
+        """Return all notes of ``kind``."""
         listed = self._list(kind, may_be_old)
         if isinstance(listed, Unavailable | Unusable):
             return listed
         items, position = listed
-        read = (_listed_note(item, era_of(position)) for item in items)
+        read = (_decode_listed_note(item, era_of(position)) for item in items)
         return [note for note in read if note is not None]
 
     def note(
         self, kind: str, name: str, may_be_old: bool = False
     ) -> Note | Unavailable | Unusable | None:
-        """Return one object of the system's own; ``None`` where there is none."""
+        """Return a note, or ``None`` if it does not exist."""
         path = f"/objects/{kind}/{quote(name, safe='')}{'?stale=1' if may_be_old else ''}"
         answer = self._call("GET", path)
         if isinstance(answer, Unavailable):
@@ -166,9 +160,9 @@
         return _decode_note(answer)
 
     def create_note(self, kind: str, name: str, body: bytes) -> Note | Unavailable | Unusable:
-        """Create an object, or return the one that is there."""
-        out = _NoteOut({"Name": name}, msgspec.Raw(body))
-        answer = self._call("POST", f"/objects/{kind}", msgspec.json.encode(out))
+        """Create a note, or return the existing one."""
+        payload = _NoteWrite({"Name": name}, msgspec.Raw(body))
+        answer = self._call("POST", f"/objects/{kind}", msgspec.json.encode(payload))
         if isinstance(answer, Unavailable):
             return answer
         if answer.status not in (_OK, _CREATED, _CONFLICT):
@@ -176,13 +170,15 @@
         return _decode_note(answer)
 
     def put_note(self, kind: str, name: str, body: bytes) -> Note | Unavailable | Unusable:
-        """Create or replace an object."""
-        made = self.create_note(kind, name, body)
-        if not isinstance(made, Note) or made.body == body:
-            return made
-        out = _NoteOut({"Name": name, "Revision": revision_of(made.position)}, msgspec.Raw(body))
+        """Create or replace a note."""
+        created = self.create_note(kind, name, body)
+        if not isinstance(created, Note) or created.body == body:
+            return created
+        payload = _NoteWrite(
+            {"Name": name, "Revision": revision_of(created.position)}, msgspec.Raw(body)
+        )
         path = f"/objects/{kind}/{quote(name, safe='')}"
-        answer = self._call("PUT", path, msgspec.json.encode(out))
+        answer = self._call("PUT", path, msgspec.json.encode(payload))
         if isinstance(answer, Unavailable):
             return answer
         if answer.status != _OK:
@@ -192,9 +188,9 @@
     def _list(
         self, kind: str, may_be_old: bool = False, patience: int = CALL_PATIENCE
     ) -> tuple[list[bytes], StorePosition] | Unavailable | Unusable:
-        """Return all objects of ``kind``, each as it was written, and the first page's position.
+        """Return all objects of ``kind``, undecoded, and the position of the first page.
 
-        A watch from that position repeats what changed while later pages were read.
+        A watch from that position repeats the changes made while later pages were read.
         """
         items: list[bytes] = []
         position: StorePosition = 0
@@ -206,14 +202,14 @@
             answer = self._call("GET", f"/objects/{kind}?{urlencode(query)}", timeout=patience)
             if isinstance(answer, Unavailable):
                 return answer
-            era = _era(answer)
+            era = _response_era(answer)
             if items and era != era_of(position):
-                return Unavailable("the store came back from a copy between two pages")
+                return Unavailable("the store was restored from a copy between two pages")
             if answer.status == _NOT_FOUND:
                 return items, position or store_position(era, 0)
             if answer.status != _OK:
                 return Unavailable(f"status {answer.status}")
-            page = _read_parts(answer.data, _Page, "Items")
+            page = _decode_items(answer.data, _Page, "Items")
             if isinstance(page, Unusable):
                 return Unusable(f"a list of {kind} cannot be read: {page.detail}")
             items.extend(bytes(item) for item in page.items)
@@ -221,10 +217,10 @@
             if not page.more or not page.items:
                 return items, position
             names = (read_name(bytes(item)) for item in reversed(page.items))
-            last = next((name for name in names if name not in ("", after)), "")
-            if not last:
-                return Unusable(f"a list of {kind} does not go on after {after}")
-            after = last
+            next_after = next((name for name in names if name not in ("", after)), "")
+            if not next_after:
+                return Unusable(f"the list of {kind} has no next page after {after}")
+            after = next_after
 
     def _watch(
         self, kind: str, after: StorePosition, wait: int
@@ -233,18 +229,18 @@
         answer = self._call("GET", path, timeout=wait + _WATCH_GRACE)
         if isinstance(answer, Unavailable):
             return answer
-        # A count that has passed ``after`` since the store's return would be taken for the
-        # same history, and what was lost and changed before it never be heard of.
-        if answer.status == _GONE or _era(answer) != era_of(after):
+        # After a restore the revision can exceed ``after`` again. Continuing the watch would
+        # then miss the objects that were lost and the changes made up to ``after``.
+        if answer.status == _GONE or _response_era(answer) != era_of(after):
             return HistoryGone()
         if answer.status != _OK:
             return Unavailable(f"status {answer.status}")
-        seen = _read_parts(answer.data, _Events, "events")
-        if isinstance(seen, Unusable):
-            return Unusable(f"a watch of {kind} cannot be read: {seen.detail}")
-        if seen.items:
-            return seen
-        return NothingNew(store_position(era_of(after), seen.revision))
+        result = _decode_items(answer.data, _Events, "events")
+        if isinstance(result, Unusable):
+            return Unusable(f"a watch of {kind} cannot be read: {result.detail}")
+        if result.items:
+            return result
+        return NothingNew(store_position(era_of(after), result.revision))
 
     def _call(
         self, method: str, path: str, body: bytes | None = None, timeout: int = CALL_PATIENCE
@@ -260,34 +256,34 @@
             return Unavailable(f"{type(exc).__name__}: {exc}", ambiguous=method != "GET")
 
 
-PartsT = TypeVar("PartsT", _Page, _Events)
+ItemsT = TypeVar("ItemsT", _Page, _Events)
 
 
-def _read_parts(data: bytes, kind: type[PartsT], items_name: str) -> PartsT | Unusable:
-    """Return an answer with several items, which are left as they stand.
+def _decode_items(data: bytes, response_type: type[ItemsT], items_name: str) -> ItemsT | Unusable:
+    """Decode a response with several items, without decoding the items.
 
-    An item that is no JSON does not keep the others from being read.
+    An item that is invalid JSON does not prevent the others from being decoded.
     """
     try:
-        return msgspec.json.decode(data, type=kind)
-    except UNREADABLE as exc:
+        return msgspec.json.decode(data, type=response_type)
+    except DECODE_ERRORS as exc:
         fault = str(exc)
     try:
-        parts = object_parts(data)
-        rest = msgspec.json.decode(_without(parts, items_name), type=_Rest)
-        items = [msgspec.Raw(item) for item in list_parts(parts[items_name])]
-    except (*UNREADABLE, KeyError):
+        parts = split_object(data)
+        envelope = msgspec.json.decode(_encode_without(parts, items_name), type=_Envelope)
+        items = [msgspec.Raw(item) for item in split_list(parts[items_name])]
+    except (*DECODE_ERRORS, KeyError):
         return Unusable(fault)
-    return kind(rest.revision, rest.more, items=items)
+    return response_type(envelope.revision, envelope.more, items=items)
 
 
-def _without(parts: dict[str, bytes], left_out: str) -> bytes:
-    """Return an object without one of its values."""
-    kept = {name: msgspec.Raw(value) for name, value in parts.items() if name != left_out}
+def _encode_without(parts: dict[str, bytes], excluded: str) -> bytes:
+    """Encode an object without the member ``excluded``."""
+    kept = {name: msgspec.Raw(value) for name, value in parts.items() if name != excluded}
     return msgspec.json.encode(kept)
 
 
-def _table_in(
+def _find_table(
     objects: Iterable[StoredObject | UnreadableObject | Unusable], position: StorePosition
 ) -> TableSeen:
     """Return the newest configuration among ``objects``."""
@@ -306,21 +302,21 @@
     return table if isinstance(table, Unusable) else TableRead(table, position, document)
 
 
-def _era(answer: urllib3.BaseHTTPResponse) -> int:
-    """Return the store's era as an answer tells it; 0 of a store that has none."""
-    text = answer.headers.get(_ERA, "")
+def _response_era(answer: urllib3.BaseHTTPResponse) -> int:
+    """Return the store's era from the headers of a response; 0 if it has none."""
+    text = answer.headers.get(_ERA_HEADER, "")
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
-def _note(item: StoredObject, era: int) -> Note:
+def _to_note(item: StoredObject, era: int) -> Note:
     return Note(item.meta.name, store_position(era, item.meta.revision), bytes(item.spec))
 
 
-def _listed_note(data: bytes, era: int) -> Note | None:
-    """Return a note; one of which only the name can be read has a body that cannot be."""
+def _decode_listed_note(data: bytes, era: int) -> Note | None:
+    """Return a note; the whole object is its body if only its metadata can be decoded."""
     match read_object(data):
         case StoredObject() as item:
-            return _note(item, era)
+            return _to_note(item, era)
         case UnreadableObject(name, revision):
             return Note(name, store_position(era, revision), data)
     return None
@@ -328,6 +324,6 @@
 
 def _decode_note(answer: urllib3.BaseHTTPResponse) -> Note | Unusable:
     try:
-        return _note(msgspec.json.decode(answer.data, type=StoredObject), _era(answer))
+        return _to_note(msgspec.json.decode(answer.data, type=StoredObject), _response_era(answer))
     except msgspec.MsgspecError as exc:
         return Unusable(f"an object cannot be read: {exc}")
--- a/src/canvasyoke/platform/tests/test_config.py
+++ b/src/canvasyoke/platform/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The operator's document as the platform hands it over."""
+"""Tests of decoding the operator's configuration."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 def document(version: int, timeouts: list[int]) -> bytes:
-    """Return a configuration with a route for each of ``timeouts``."""
+    """Return a configuration with one route for each timeout."""
     routes = [
         {
             "Name": f"r-{number}",
@@ -22,18 +22,18 @@
     return msgspec.json.encode({"Version": version, "Routes": routes})
 
 
-def test_routes_that_stay_are_not_built_anew() -> None:
+def test_unchanged_routes_are_reused() -> None:
     before = decode_table(document(1, [1_000, 2_000, 3_000]))
     after = decode_table(document(2, [1_000, 2_500, 3_000]))
     assert isinstance(before, RoutingTable)
     assert isinstance(after, RoutingTable)
-    same = [a is b for a, b in zip(before.routes, after.routes, strict=True)]
-    assert same == [True, False, True]
+    is_reused = [a is b for a, b in zip(before.routes, after.routes, strict=True)]
+    assert is_reused == [True, False, True]
     assert [route.timeout for route in after.routes] == [1_000, 2_500, 3_000]
     assert [route.timeout for route in before.routes] == [1_000, 2_000, 3_000]
 
 
-def test_times_need_not_be_whole() -> None:
+def test_fractional_times_are_rounded() -> None:
     route = {
         "Name": "r",
         "Host": "h.example",
--- a/src/canvasyoke/platform/tests/test_endpoints.py
+++ b/src/canvasyoke/platform/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Entries of the store as others may write them: what cannot be read hides nothing else."""
+"""Tests that an invalid entry of the store does not prevent others from being decoded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Unusable,
 )
 
-SOUND: dict[str, Any] = {
+VALID_SPEC: dict[str, Any] = {
     "Service": "shelf",
     "Address": "10.0.0.1:8080",
     "Zone": "nbo-a",
@@ -43,24 +43,24 @@
     return b'{"object":' + item + b',"gone":' + json.dumps(gone).encode() + b"}"
 
 
-def test_a_sound_entry_names_a_backend() -> None:
-    (endpoint,) = read_list([stored("a", SOUND)], 9).endpoints
+def test_a_valid_entry_is_decoded() -> None:
+    (endpoint,) = read_list([stored("a", VALID_SPEC)], 9).endpoints
     assert endpoint == Endpoint(
         "a", "shelf", "10.0.0.1:8080", "nbo-a", 6, EndpointState.READY, position=7
     )
 
 
-def test_a_start_is_told_where_it_stands() -> None:
-    (endpoint,) = read_list([stored("a", SOUND | {"born": 1_764_720_000_000})], 9).endpoints
+def test_a_start_time_is_decoded() -> None:
+    (endpoint,) = read_list([stored("a", VALID_SPEC | {"born": 1_764_720_000_000})], 9).endpoints
     assert (endpoint.started, endpoint.run) == (1_764_720_000_000, "a@1764720000000")
 
 
-def test_a_field_that_nobody_named_does_no_harm() -> None:
-    listed = read_list([stored("a", SOUND | {"Models": [{"Name": "m"}], "Stage": "dual"})], 9)
+def test_unknown_fields_are_ignored() -> None:
+    listed = read_list([stored("a", VALID_SPEC | {"Models": [{"Name": "m"}], "Stage": "dual"})], 9)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a"]
 
 
-WRONG_FIELDS: list[tuple[str, list[Any]]] = [
+INVALID_FIELDS: list[tuple[str, list[Any]]] = [
     ("Service", [None, 7, "", [], "x" * 201]),
     ("Address", [None, 7, "", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0.1:0", "10.0.0.1:65536"]),
     ("Address", ["host:80", "10.0.0:80", "10.0.0.1:8x", "0.0.0.0:80", "10.0.0.1:٣", "[::1]:80"]),
@@ -75,19 +75,19 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"), [(field, value) for field, values in WRONG_FIELDS for value in values]
+    ("field", "value"), [(field, value) for field, values in INVALID_FIELDS for value in values]
 )
-def test_a_field_of_another_kind_names_no_backend(field: str, value: Any) -> None:
-    listed = read_list([stored("odd", SOUND | {field: value}), stored("a", SOUND)], 9)
+def test_an_entry_with_an_invalid_field_is_unreadable(field: str, value: Any) -> None:
+    listed = read_list([stored("odd", VALID_SPEC | {field: value}), stored("a", VALID_SPEC)], 9)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a"]
     assert [entry.id for entry in listed.unreadable] == ["odd"]
     assert listed.unreadable[0].fault
 
 
-@pytest.mark.parametrize("field", SOUND)
-def test_a_field_that_is_missing_names_no_backend(field: str) -> None:
-    spec = {name: value for name, value in SOUND.items() if name != field}
-    listed = read_list([stored("odd", spec), stored("a", SOUND)], 9)
+@pytest.mark.parametrize("field", VALID_SPEC)
+def test_an_entry_without_a_required_field_is_unreadable(field: str) -> None:
+    spec = {name: value for name, value in VALID_SPEC.items() if name != field}
+    listed = read_list([stored("odd", spec), stored("a", VALID_SPEC)], 9)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a"]
     assert [entry.id for entry in listed.unreadable] == ["odd"]
 
@@ -108,14 +108,14 @@
 
 
 @pytest.mark.parametrize(("item", "name"), UNREADABLE_OBJECTS)
-def test_an_object_that_cannot_be_read_hides_no_other(item: bytes, name: str) -> None:
-    listed = read_list([item, stored("a", SOUND), item], 9)
+def test_an_unreadable_object_does_not_affect_others(item: bytes, name: str) -> None:
+    listed = read_list([item, stored("a", VALID_SPEC), item], 9)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a"]
     assert [entry.id for entry in listed.unreadable] == [name, name]
 
 
-class _OneAnswer:
-    """A pool whose only answer is given."""
+class _FakePool:
+    """Fake connection pool with one response."""
 
     status = 200
     headers: ClassVar[dict[str, str]] = {}
@@ -123,22 +123,22 @@
     def __init__(self, data: bytes) -> None:
         self.data = data
 
-    def urlopen(self, *_args: Any, **_kwargs: Any) -> _OneAnswer:
+    def urlopen(self, *_args: Any, **_kwargs: Any) -> _FakePool:
         return self
 
 
 @pytest.mark.parametrize(("item", "name"), UNREADABLE_OBJECTS)
-def test_a_page_or_a_watch_with_such_an_object_is_read(item: bytes, name: str) -> None:
+def test_a_page_or_watch_with_an_unreadable_object_is_decoded(item: bytes, name: str) -> None:
     store = ObjectsFleetStore("127.0.0.1:1")
-    sound = stored("a", SOUND)
-    page = b'{"Items":[' + item + b"," + sound + b'],"more":false,"at":9}'
-    store._pool = _OneAnswer(page)  # type: ignore[assignment]
+    valid = stored("a", VALID_SPEC)
+    page = b'{"Items":[' + item + b"," + valid + b'],"more":false,"at":9}'
+    store._pool = _FakePool(page)  # type: ignore[assignment]
     listed = store.endpoints()
     assert isinstance(listed, EndpointList)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a"]
     assert [entry.id for entry in listed.unreadable] == [name]
-    watch = b'{"events":[' + event(item) + b"," + event(sound) + b'],"at":9}'
-    store._pool = _OneAnswer(watch)  # type: ignore[assignment]
+    watch = b'{"events":[' + event(item) + b"," + event(valid) + b'],"at":9}'
+    store._pool = _FakePool(watch)  # type: ignore[assignment]
     seen = store.watch_endpoints(5, 10)
     if name:
         assert isinstance(seen, EndpointChanges)
@@ -147,52 +147,52 @@
         assert isinstance(seen, Unusable)
 
 
-class _Pages:
-    """A pool that answers with one page after another, and keeps what it was asked."""
+class _PagedPool:
+    """Fake connection pool that returns one page after another and records requested paths."""
 
     def __init__(self, *pages: list[bytes]) -> None:
         self.pages = list(pages)
-        self.asked: list[str] = []
+        self.requested_paths: list[str] = []
 
-    def urlopen(self, _method: str, path: str, **_kwargs: Any) -> _OneAnswer:
-        self.asked.append(path)
+    def urlopen(self, _method: str, path: str, **_kwargs: Any) -> _FakePool:
+        self.requested_paths.append(path)
         items = b",".join(self.pages.pop(0))
         more = json.dumps(bool(self.pages)).encode()
-        return _OneAnswer(b'{"Items":[' + items + b'],"more":' + more + b',"at":9}')
+        return _FakePool(b'{"Items":[' + items + b'],"more":' + more + b',"at":9}')
 
 
-#: What a first page of two ends with, and the name after which the second is asked for.
-ENDS = [
+#: Last item of the first of two pages, and the name after which the second is requested.
+LAST_ITEMS = [
     (stored("b", None), "b"),
-    (stored("x" * 201, SOUND), "x" * 201),
+    (stored("x" * 201, VALID_SPEC), "x" * 201),
     (b'{"Metadata":{"Name":"odd"},"Spec":NaN}', "odd"),
     (b'{"Metadata":7}', "a"),
     (b"null", "a"),
 ]
 
 
-@pytest.mark.parametrize(("end", "after"), ENDS)
-def test_a_list_goes_on_after_a_page_that_ends_with_an_unreadable_entry(
-    end: bytes, after: str
+@pytest.mark.parametrize(("last_item", "after"), LAST_ITEMS)
+def test_listing_continues_after_a_page_that_ends_with_an_unreadable_entry(
+    last_item: bytes, after: str
 ) -> None:
     store = ObjectsFleetStore("127.0.0.1:1")
-    pool = _Pages([stored("a", SOUND), end], [stored("z", SOUND)])
+    pool = _PagedPool([stored("a", VALID_SPEC), last_item], [stored("z", VALID_SPEC)])
     store._pool = pool  # type: ignore[assignment]
     listed = store.endpoints()
     assert isinstance(listed, EndpointList)
     assert [endpoint.id for endpoint in listed.endpoints] == ["a", "z"]
-    assert pool.asked[1].endswith(f"After={after}")
+    assert pool.requested_paths[1].endswith(f"After={after}")
 
 
-def test_a_list_that_does_not_go_on_is_unusable_and_ends() -> None:
+def test_a_list_without_a_next_page_is_unusable() -> None:
     store = ObjectsFleetStore("127.0.0.1:1")
-    store._pool = _Pages([b"null"], [b"null"])  # type: ignore[assignment]
+    store._pool = _PagedPool([b"null"], [b"null"])  # type: ignore[assignment]
     assert isinstance(store.endpoints(), Unusable)
 
 
-def test_an_unreadable_entry_in_a_watch_is_told_by_its_name() -> None:
-    odd = stored("odd", SOUND | {"Slots": "six"}, revision=8)
-    changes = read_changes([event(odd), event(stored("a", SOUND, revision=9))], 9)
+def test_an_unreadable_entry_in_a_watch_is_reported_by_name() -> None:
+    invalid = stored("odd", VALID_SPEC | {"Slots": "six"}, revision=8)
+    changes = read_changes([event(invalid), event(stored("a", VALID_SPEC, revision=9))], 9)
     assert isinstance(changes, EndpointChanges)
     gone, changed = changes.changes
     assert isinstance(gone, EndpointGone)
@@ -201,32 +201,32 @@
     assert gone.fault
 
 
-def test_an_event_without_a_name_asks_for_a_new_list() -> None:
+def test_an_event_without_a_name_makes_the_watch_unusable() -> None:
     assert isinstance(read_changes([event(b'{"Metadata":7}')], 9), Unusable)
 
 
 @pytest.mark.parametrize("spec", [None, 7, "text", {"Service": 1}])
-def test_a_removal_needs_no_more_than_the_name(spec: Any) -> None:
+def test_a_removal_requires_only_a_name(spec: Any) -> None:
     changes = read_changes([event(stored("a", spec, revision=3), gone=True)], 9)
     assert changes == EndpointChanges((EndpointGone("a", 9),), 9)
 
 
-#: Events of one batch up to revision 15, and the revision that the removal of ``a`` gets.
+#: Events of a batch up to revision 15, and the expected revision of the removal of ``a``.
 REMOVALS: list[tuple[list[tuple[str, int, bool]], int]] = [
     ([("a", 3, True)], 15),
     ([("a", 3, True), ("b", 15, False)], 14),
     ([("a", 3, True), ("a", 12, False), ("b", 15, False)], 11),
     ([("b", 9, False), ("a", 3, True), ("b", 4, True), ("c", 13, False)], 12),
-    # The store's own revision of the object counts where it is the later one.
+    # The revision of the object itself is used if it is higher.
     ([("a", 14, True), ("b", 12, False)], 14),
 ]
 
 
 @pytest.mark.parametrize(("batch", "revision"), REMOVALS)
-def test_a_removal_is_older_than_what_follows_it(
+def test_a_removal_is_older_than_the_following_event(
     batch: list[tuple[str, int, bool]], revision: int
 ) -> None:
-    events = [event(stored(name, SOUND, at), gone) for name, at, gone in batch]
+    events = [event(stored(name, VALID_SPEC, at), gone) for name, at, gone in batch]
     changes = read_changes(events, 15)
     assert isinstance(changes, EndpointChanges)
     assert EndpointGone("a", revision) in changes.changes
@@ -241,16 +241,17 @@
 
 
 @given(
-    odd=st.lists(
-        st.builds(lambda f, v: {**SOUND, f: v}, st.sampled_from(list(SOUND)), _JSON) | _JSON,
+    invalid=st.lists(
+        st.builds(lambda f, v: {**VALID_SPEC, f: v}, st.sampled_from(list(VALID_SPEC)), _JSON)
+        | _JSON,
         max_size=4,
     ),
     at=st.integers(0, 4),
 )
-@example(odd=[{**SOUND, "Slots": 1 << 70}], at=0)
-def test_whatever_stands_beside_it_a_sound_entry_is_seen(odd: list[Any], at: int) -> None:
-    items = [stored(f"odd-{n}", spec) for n, spec in enumerate(odd)]
-    items.insert(min(at, len(items)), stored("a", SOUND))
+@example(invalid=[{**VALID_SPEC, "Slots": 1 << 70}], at=0)
+def test_a_valid_entry_is_decoded_beside_any_others(invalid: list[Any], at: int) -> None:
+    items = [stored(f"odd-{n}", spec) for n, spec in enumerate(invalid)]
+    items.insert(min(at, len(items)), stored("a", VALID_SPEC))
     listed = read_list(items, 9)
     assert "a" in {endpoint.id for endpoint in listed.endpoints}
     assert len(listed.endpoints) + len(listed.unreadable) == len(items)
@@ -266,14 +267,14 @@
 
 
 @given(st.binary(max_size=60))
-def test_bytes_that_are_no_object_raise_nothing(data: bytes) -> None:
-    listed = read_list([data, stored("a", SOUND)], 9)
+def test_arbitrary_bytes_raise_no_exception(data: bytes) -> None:
+    listed = read_list([data, stored("a", VALID_SPEC)], 9)
     assert listed.endpoints[-1].id == "a"
     read_changes([data], 9)
 
 
-def test_what_is_read_can_be_told_to_other_processes() -> None:
+def test_texts_are_limited_to_the_maximum_length_of_messages() -> None:
     long = "x" * 200
-    (endpoint,) = read_list([stored(long, SOUND | {"Service": long})], 9).endpoints
+    (endpoint,) = read_list([stored(long, VALID_SPEC | {"Service": long})], 9).endpoints
     assert len(endpoint.id) == len(endpoint.service) == 200
-    assert not read_list([stored(long + "x", SOUND)], 9).endpoints
+    assert not read_list([stored(long + "x", VALID_SPEC)], 9).endpoints
--- a/src/canvasyoke/platform/tests/test_engine_answers.py
+++ b/src/canvasyoke/platform/tests/test_engine_answers.py
@@ -1,4 +1,4 @@
-"""Whose word the head of an answer is."""
+"""Tests of classifying responses and of the notices taken from them."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import pytest
 
 from canvasyoke.backend import NO_NOTICE, BackendAnswer, BackendNotice, MayHaveRun, NotRun
-from canvasyoke.platform._engine import _classify
+from canvasyoke.platform._engine import _classify_answer
 from canvasyoke.transport import Exchange
 
-WORDS = {"Retry-After": "3", "Server-Leaving": "1", "Server-Limit": "2"}
+NOTICE_HEADERS = {"Retry-After": "3", "Server-Leaving": "1", "Server-Limit": "2"}
 
 
 class _Exchange:
-    """An answer whose head has come."""
+    """A response whose headers have been received."""
 
     def __init__(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
-        self.headers = list((headers | WORDS).items())
+        self.headers = list((headers | NOTICE_HEADERS).items())
         self.is_framed = True
 
     def header(self, name: str) -> str | None:
@@ -28,7 +28,7 @@
         pass
 
 
-#: An answer, what it is taken for, and what it says of the backend that was called.
+#: Name, status, headers, expected classification and expected notice of the called backend.
 ANSWERS = [
     ("a refusal", 503, {"Not-Executed": "1"}, NotRun, BackendNotice(None, 3_000, True, 2.0, True)),
     ("another run's refusal", 421, {"Not-Executed": "1"}, NotRun, NO_NOTICE),
@@ -68,15 +68,15 @@
     [case[1:] for case in ANSWERS],
     ids=[case[0] for case in ANSWERS],
 )
-def test_whose_word_it_is(
+def test_classification_and_notice(
     status: int, headers: dict[str, str], kind: type, notice: BackendNotice
 ) -> None:
-    sent = _classify(cast(Exchange, _Exchange(status, headers)), "mine")
-    assert isinstance(sent, kind)
-    assert sent.notice == notice
+    result = _classify_answer(cast(Exchange, _Exchange(status, headers)), "mine")
+    assert isinstance(result, kind)
+    assert result.notice == notice
 
 
-def test_callers_do_not_get_what_is_for_the_load_balancer() -> None:
-    sent = _classify(cast(Exchange, _Exchange(200, {"Response-Seal": "s"})), "mine")
-    assert isinstance(sent, BackendAnswer)
-    assert {name for name, _ in sent.headers} == {"Response-Seal", "Retry-After"}
+def test_headers_for_the_load_balancer_are_not_forwarded() -> None:
+    result = _classify_answer(cast(Exchange, _Exchange(200, {"Response-Seal": "s"})), "mine")
+    assert isinstance(result, BackendAnswer)
+    assert {name for name, _ in result.headers} == {"Response-Seal", "Retry-After"}
--- a/src/canvasyoke/platform/tests/test_names.py
+++ b/src/canvasyoke/platform/tests/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay inside the adapter."""
+"""Tests that the platform's names are used only in its adapter."""
 
 import re
 from pathlib import Path
@@ -6,8 +6,7 @@
 import pytest
 
 PACKAGE = Path(__file__).resolve().parents[2]
-#: Names that the platform's pages use and the product does not: headers, fields of
-#: objects and settings, and paths of calls.
+#: Headers, fields of objects and settings, and paths that only the platform defines.
 NAMES = (
     "Attempt-Id Request-Deadline Prompt-Prefix Last-Event-Id Response-Seal Expect-Instance "
     "Expect-Version Server-Load Server-Leaving Server-Limit Not-Executed Instance-Id "
@@ -31,14 +30,14 @@
     for path in PACKAGE.rglob("*.py")
     if "tests" not in path.parts and path.parent != PACKAGE / "platform"
 )
-#: The project's own object API, older than the platform's, happens to use the same path.
-OWN_PATHS = {Path("state/_platform_http.py")}
+#: Client of the project's own object API, which uses the same path.
+OBJECT_API_CLIENTS = {Path("state/_platform_http.py")}
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_no_name_of_the_platform_outside_the_adapter(path: Path) -> None:
+def test_no_platform_names_outside_the_adapter(path: Path) -> None:
     found = PATTERN.findall(path.read_text())
-    if path.relative_to(PACKAGE) in OWN_PATHS:
+    if path.relative_to(PACKAGE) in OBJECT_API_CLIENTS:
         found = [name for name in found if name != "/objects/"]
     assert found == []
 
--- a/src/canvasyoke/platform/tests/test_store_eras.py
+++ b/src/canvasyoke/platform/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""What the store says in one era is not taken for another's; fences rise over eras."""
+"""Tests that positions of different store eras are not mixed and that fences increase over eras."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from fakes.object_store import ObjectStore, StoreDoor
 from tests.direct import configuration
 
-#: The most that any reader of JSON takes as a whole number.
-LARGEST_NUMBER = 1 << 53
+#: Every JSON decoder represents integers below this exactly.
+JSON_INTEGER_LIMIT = 1 << 53
 
 
 def spec(number: int) -> dict[str, object]:
@@ -42,18 +42,18 @@
 
 @pytest.fixture
 def store() -> ObjectStore:
-    made = ObjectStore()
+    store = ObjectStore()
     for number in range(5):  # two pages
-        made.put("servers", f"b-{number}", spec(number))
-    made.put("config", "main", configuration(3))
-    return made
+        store.put("servers", f"b-{number}", spec(number))
+    store.put("config", "main", configuration(3))
+    return store
 
 
 @pytest.fixture
 def client(store: ObjectStore) -> Iterator[ObjectsFleetStore]:
-    door = StoreDoor(store)
-    yield ObjectsFleetStore(door.address)
-    door.close()
+    server = StoreDoor(store)
+    yield ObjectsFleetStore(server.address)
+    server.close()
 
 
 def listed(client: ObjectsFleetStore) -> EndpointList:
@@ -62,7 +62,7 @@
     return found
 
 
-def test_all_that_a_list_says_is_of_its_era(store: ObjectStore, client: ObjectsFleetStore) -> None:
+def test_positions_in_a_list_have_its_era(store: ObjectStore, client: ObjectsFleetStore) -> None:
     before = listed(client)
     store.return_from(store.copy())
     after = listed(client)
@@ -76,10 +76,10 @@
     assert era_of(table.position) == 1
 
 
-def test_pages_of_two_eras_are_no_list(
+def test_a_list_with_pages_of_two_eras_is_rejected(
     store: ObjectStore, client: ObjectsFleetStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second page is asked for by a name, which any era has."""
+    """The second page is requested by name, which is valid in any era."""
     copy = store.copy()
     answer = store.answer
 
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("changes", [0, 50], ids=["its count is lower", "its count is above"])
-def test_a_watch_of_the_era_before_goes_on_with_a_list(
+def test_a_watch_of_an_earlier_era_requires_a_new_list(
     store: ObjectStore, client: ObjectsFleetStore, changes: int
 ) -> None:
     older = store.copy()
@@ -108,7 +108,7 @@
     assert isinstance(client.watch_table(position, 10), HistoryGone)
 
 
-def test_a_watch_within_an_era_tells_of_it(store: ObjectStore, client: ObjectsFleetStore) -> None:
+def test_changes_in_a_watch_have_its_era(store: ObjectStore, client: ObjectsFleetStore) -> None:
     store.return_from(store.copy())
     position = listed(client).position
     nothing = client.watch_endpoints(position, 1)
@@ -121,7 +121,7 @@
     assert seen.position > position
 
 
-def test_a_conditional_write_names_the_revision_alone(
+def test_a_conditional_write_contains_only_the_revision(
     store: ObjectStore, client: ObjectsFleetStore
 ) -> None:
     store.return_from(store.copy())
@@ -132,19 +132,19 @@
     assert store.get("entries") == {"a": "two"}
 
 
-def test_an_owner_s_fences_are_above_those_of_every_era_before(
+def test_fences_are_higher_than_those_of_earlier_eras(
     store: ObjectStore, client: ObjectsFleetStore
 ) -> None:
-    """Fences went below those that engines had seen, and all orders were turned away."""
+    """With lower fences than before the restore, engines would reject all orders."""
     older = store.copy()
     bases = []
     for era in range(4):
         for number in range(30 - era * 10):
             store.put("others", f"o-{number}", [era, number])
         for incarnation in ("a", "b"):
-            taken = allocate_fences(client, "g-1", incarnation, 1)
-            assert isinstance(taken, FenceSequence)
-            bases.append(taken.base)
+            allocated = allocate_fences(client, "g-1", incarnation, 1)
+            assert isinstance(allocated, FenceSequence)
+            bases.append(allocated.base)
         store.return_from(older)
     assert bases == sorted(set(bases))
-    assert bases[-1] < LARGEST_NUMBER
+    assert bases[-1] < JSON_INTEGER_LIMIT
--- a/src/canvasyoke/target/tests/test_desk.py
+++ b/src/canvasyoke/target/tests/test_desk.py
@@ -10,7 +10,7 @@
 
 from canvasyoke import SystemClock
 from canvasyoke.backend import AnswerSink, Backend, Done, Health
-from canvasyoke.backend._port import CallEnd
+from canvasyoke.backend._port import CallResult
 from canvasyoke.coordination import Slot
 from canvasyoke.protocol import (
     Chunk,
@@ -74,7 +74,7 @@
     go_on: threading.Event = field(default_factory=threading.Event)
     runs: list[str] = field(default_factory=list)
 
-    def call(self, run: Run, sink: AnswerSink) -> CallEnd:
+    def call(self, run: Run, sink: AnswerSink) -> CallResult:
         self.runs.append(run.request_id)
         self.go_on.wait(10)
         sink.head(200, [])
