--- a/bench/_link_churn.py
+++ b/bench/_link_churn.py
@@ -125,7 +125,7 @@
     """Wait, and yield what has come."""
     if receiver is not None:
         receiver.wait()
-        yield from receiver.arrivals()
+        yield from receiver.receive_available()
         return
     with contextlib.suppress(pynng.Timeout):
         yield take()
--- a/src/canvasyoke/backend/_direct.py
+++ b/src/canvasyoke/backend/_direct.py
@@ -15,7 +15,7 @@
 from canvasyoke._registry import Registry
 from canvasyoke.backend._notice import NO_NOTICE, BackendNotice
 from canvasyoke.state import Endpoint
-from canvasyoke.transport import ExchangeSlot
+from canvasyoke.transport import ExchangeHandle
 
 
 class NotRunCause(enum.StrEnum):
@@ -116,7 +116,11 @@
 
     @abstractmethod
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
     ) -> Sending:
         """Send ``request`` to ``endpoint`` and wait for the head of its answer."""
 
--- a/src/canvasyoke/direct/_answer_relay.py
+++ b/src/canvasyoke/direct/_answer_relay.py
@@ -55,7 +55,7 @@
                     return MayHaveRun("the answer is too long to collect")
                 answer.wait_at_most(self._time_left(call))
         except ExchangeError as exc:
-            return MayHaveRun(f"the answer broke off: {exc}", is_broken=not exc.is_late)
+            return MayHaveRun(f"the answer broke off: {exc}", is_broken=not exc.is_timeout)
         head = AnswerHead(answer.status, answer.headers, len(body))
         if answer.status >= _SERVER_ERROR and self._retries.should_retry_failure(call):
             call.saved_failure = SavedFailure(head, bytes(body))
@@ -94,7 +94,7 @@
                     return MayHaveRun("the backend is too slow for the stream")
                 answer.wait_at_most(self._time_left(call))
         except ExchangeError as exc:
-            return MayHaveRun(f"the stream broke off: {exc}", is_broken=not exc.is_late)
+            return MayHaveRun(f"the stream broke off: {exc}", is_broken=not exc.is_timeout)
         finally:
             if last_event_at:
                 self._roster.record_stream_end(backend)
--- a/src/canvasyoke/direct/_backend_exchange.py
+++ b/src/canvasyoke/direct/_backend_exchange.py
@@ -16,7 +16,7 @@
 from canvasyoke.direct._known_backends import BackendChange
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
-from canvasyoke.protocol import BackendList, BackendNews, BackendsWanted, GroupNews, Message
+from canvasyoke.protocol import BackendList, BackendListRequest, BackendUpdate, GroupUpdate, Message
 from canvasyoke.state import format_position
 from canvasyoke.transport import Session
 
@@ -60,7 +60,7 @@
             self._roster.confirm_list(age)
         elif position and now - self._list_requested_at >= _LIST_REQUEST_INTERVAL:
             self._list_requested_at = now
-            session.send(BackendsWanted())
+            session.send(BackendListRequest())
 
     def snapshot(self) -> BackendList:
         """Return all backends, with the position up to which the list is complete."""
@@ -86,10 +86,10 @@
             self._broadcast(to_backend_news(change), session)
         for backend, group in listed.groups.items():
             if self._roster.learn_group(backend, group):
-                self._broadcast(GroupNews(backend, group), session)
+                self._broadcast(GroupUpdate(backend, group), session)
         self._announce_position()
 
-    def receive_news(self, session: Session, news: BackendNews) -> None:
+    def receive_news(self, session: Session, news: BackendUpdate) -> None:
         """Apply another entry's change of a backend, and forward it or answer with a correction."""
         change = BackendChange(to_endpoint(news), news.gone, news.revision, news.was_lost)
         if not self._roster.apply_change(change):
--- a/src/canvasyoke/direct/_backend_news.py
+++ b/src/canvasyoke/direct/_backend_news.py
@@ -4,19 +4,19 @@
 
 from canvasyoke.direct._crash_cases import CrashCase
 from canvasyoke.direct._known_backends import BackendChange
-from canvasyoke.protocol import BackendNews, CrashNews
+from canvasyoke.protocol import BackendUpdate, CrashUpdate
 from canvasyoke.state import Endpoint, EndpointState
 
 
-def to_crash_news(fingerprint: str, case: CrashCase) -> CrashNews:
+def to_crash_news(fingerprint: str, case: CrashCase) -> CrashUpdate:
     """Return the message for a request that may have crashed backends."""
-    return CrashNews(fingerprint, case.cleared, sorted(case.runs), case.is_blamed)
+    return CrashUpdate(fingerprint, case.cleared, sorted(case.runs), case.is_blamed)
 
 
-def to_backend_news(change: BackendChange) -> BackendNews:
+def to_backend_news(change: BackendChange) -> BackendUpdate:
     """Return the message for a change of a backend."""
     endpoint = change.endpoint
-    return BackendNews(
+    return BackendUpdate(
         id=endpoint.id,
         service=endpoint.service,
         address=endpoint.address,
@@ -30,7 +30,7 @@
     )
 
 
-def to_endpoint(news: BackendNews) -> Endpoint:
+def to_endpoint(news: BackendUpdate) -> Endpoint:
     """Return the backend described by another entry's message."""
     return Endpoint(
         id=news.id,
--- a/src/canvasyoke/direct/_call.py
+++ b/src/canvasyoke/direct/_call.py
@@ -11,7 +11,7 @@
 from canvasyoke.direct._choice import Chosen
 from canvasyoke.direct._fingerprint import fingerprint
 from canvasyoke.state import TableRoute, format_position
-from canvasyoke.transport import ExchangeSlot
+from canvasyoke.transport import ExchangeHandle
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,7 +143,7 @@
     #: Longest time between two chunks, in milliseconds.
     longest_gap: int = 0
     #: The current exchange; the monitor thread may close it.
-    slot: ExchangeSlot | None = None
+    slot: ExchangeHandle | None = None
     #: Run id of the backend of the current exchange, and when the exchange began.
     backend: str = ""
     sent_at: int = 0
--- a/src/canvasyoke/direct/_callers.py
+++ b/src/canvasyoke/direct/_callers.py
@@ -119,7 +119,7 @@
             with self._lock:
                 del self._active_calls[id(call)]
             if call.slot is not None:
-                call.slot.shut()
+                call.slot.cancel()
 
     def _relay(self, call: DirectCall, start: StartResponse) -> Iterator[bytes]:
         for piece in self._forwarder.run(call):
@@ -249,8 +249,8 @@
             with self._lock:
                 active_calls = list(self._active_calls.values())
             for call in active_calls:
-                if call.slot is not None and not call.slot.is_shut and call.is_disconnected():
-                    call.slot.shut()
+                if call.slot is not None and not call.slot.is_cancelled and call.is_disconnected():
+                    call.slot.cancel()
                 elif self._forwarder.close_if_unresponsive(call):
                     self._on_unresponsive(call.backend)
 
--- a/src/canvasyoke/direct/_crash_detector.py
+++ b/src/canvasyoke/direct/_crash_detector.py
@@ -16,7 +16,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.observe import part_logger
 from canvasyoke.state import Endpoint
-from canvasyoke.transport import Reach, reach
+from canvasyoke.transport import ProbeResult, probe_address
 
 _log = part_logger("breaks")
 #: Connect timeout of the probe in milliseconds. A retry of the request waits for it.
@@ -37,9 +37,9 @@
 
 
 _LIVENESS_BY_REACH: Final = {
-    Reach.LISTENING: BackendLiveness.LISTENS,
-    Reach.REFUSED: BackendLiveness.ENDED,
-    Reach.SILENT: BackendLiveness.UNKNOWN,
+    ProbeResult.LISTENING: BackendLiveness.LISTENS,
+    ProbeResult.REFUSED: BackendLiveness.ENDED,
+    ProbeResult.SILENT: BackendLiveness.UNKNOWN,
 }
 
 
@@ -50,7 +50,7 @@
         self,
         roster: Roster,
         metrics: DirectMetrics,
-        probe_port: Callable[[str, int], Reach] = reach,
+        probe_port: Callable[[str, int], ProbeResult] = probe_address,
     ) -> None:
         self._roster = roster
         self._metrics = metrics
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -42,7 +42,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint
-from canvasyoke.transport import ExchangeSlot
+from canvasyoke.transport import ExchangeHandle
 
 #: Connect timeout in milliseconds. Shorter than the retransmission timeout of a lost SYN packet,
 #: since trying another backend is faster.
@@ -145,12 +145,12 @@
         endpoint = chosen.endpoint
         # Checked again before the request is written: the backend may have asked for a backoff
         # while the connection was being established.
-        call.slot = ExchangeSlot(lambda: self._roster.may_send(endpoint))
+        call.slot = ExchangeHandle(lambda: self._roster.may_send(endpoint))
         call.retry_charged = False
         call.backend, call.sent_at = endpoint.run, began
         call.has_begun = call.is_unresponsive = call.is_moved = False
         if call.is_disconnected():
-            call.slot.shut()
+            call.slot.cancel()
         sent = self._port.send(endpoint, self._outbound(call), _CONNECT_TIMEOUT, call.slot)
         self._words.handle(endpoint, sent.notice)
         self._record_reachability(call, endpoint, sent)
@@ -262,10 +262,10 @@
         Returns true if the exchange was closed.
         """
         slot = call.slot
-        if slot is None or slot.is_shut or not self._retries.is_overdue(call):
+        if slot is None or slot.is_cancelled or not self._retries.is_overdue(call):
             return False
         call.is_unresponsive = True
-        slot.shut()
+        slot.cancel()
         return True
 
 
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -34,20 +34,20 @@
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     BackendList,
-    BackendNews,
-    BackendsWanted,
-    BackendWords,
+    BackendListRequest,
+    BackendUnresponsive,
+    BackendUpdate,
     CrashList,
-    CrashNews,
+    CrashUpdate,
     EntryLoad,
-    GroupNews,
+    GroupUpdate,
     Message,
-    PaceNews,
+    PaceUpdate,
     RelayedLoad,
-    SilenceNews,
+    RelayedNotices,
     StoreWatcher,
     TableDocument,
-    TableWanted,
+    TableRequest,
 )
 from canvasyoke.state import (
     DirectSettings,
@@ -140,15 +140,15 @@
 
     def announce_group(self, backend: str, group: str) -> None:
         """Announce the group of a backend."""
-        self._broadcast(GroupNews(backend, group))
+        self._broadcast(GroupUpdate(backend, group))
 
     def announce_pace(self, backend: str, pace: float) -> None:
         """Announce the pace of a backend."""
-        self._broadcast(PaceNews(backend, pace))
+        self._broadcast(PaceUpdate(backend, pace))
 
     def announce_silence(self, backend: str) -> None:
         """Announce that a backend does not respond."""
-        self._broadcast(SilenceNews(backend))
+        self._broadcast(BackendUnresponsive(backend))
 
     def announce_word(self, told: SharedNotice) -> None:
         """Announce what a backend has reported about itself."""
@@ -224,28 +224,28 @@
         match message:
             case EntryLoad():
                 self._handle_load(session, message)
-            case TableWanted():
+            case TableRequest():
                 self._tables.send(session, message.version)
-            case BackendsWanted():
+            case BackendListRequest():
                 session.send(self._backends.snapshot())
             case TableDocument():
                 self._tables.adopt(session, message)
-            case BackendNews():
+            case BackendUpdate():
                 self._backends.receive_news(session, message)
             case BackendList():
                 self._backends.receive_list(session, message)
-            case GroupNews():
+            case GroupUpdate():
                 if self._roster.learn_group(message.backend, message.group):
                     self._broadcast(message, exclude=session)
-            case PaceNews():
+            case PaceUpdate():
                 if self._roster.learn_pace(message.backend, message.pace):
                     self._broadcast(message, exclude=session)
-            case SilenceNews():
+            case BackendUnresponsive():
                 if self._roster.mark_unresponsive(message.backend):
                     self._broadcast(message, exclude=session)
-            case BackendWords():
+            case RelayedNotices():
                 self._words.receive(session, message)
-            case CrashNews():
+            case CrashUpdate():
                 self._handle_crash_news(message)
             case CrashList():
                 for news in message.cases:
@@ -253,7 +253,7 @@
             case _:
                 _log.warning("unexpected message", peer=session.peer, kind=type(message).__name__)
 
-    def _handle_crash_news(self, news: CrashNews) -> None:
+    def _handle_crash_news(self, news: CrashUpdate) -> None:
         case = CrashCase(news.cleared, frozenset(news.runs), news.is_blamed)
         self._quarantine.merge(news.fingerprint, case)
 
--- a/src/canvasyoke/direct/_table_exchange.py
+++ b/src/canvasyoke/direct/_table_exchange.py
@@ -13,7 +13,7 @@
 from canvasyoke.direct._packed_document import DocumentError, pack_document, unpack_document
 from canvasyoke.direct._table_follower import TableView
 from canvasyoke.observe import part_logger
-from canvasyoke.protocol import TableDocument, TableWanted
+from canvasyoke.protocol import TableDocument, TableRequest
 from canvasyoke.state import FleetStore, Unusable
 from canvasyoke.transport import Session
 
@@ -78,7 +78,7 @@
         grace = _STORE_GRACE if current and self._is_watching() else 0
         if now - observed_at >= grace and now - self._requested_at >= _RETRY_INTERVAL:
             self._requested_at = now
-            session.send(TableWanted(current))
+            session.send(TableRequest(current))
 
     def send(self, session: Session, version: int) -> None:
         """Send the configuration in force to a peer that has the older ``version``."""
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -16,7 +16,7 @@
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
 from canvasyoke.state import Endpoint, Repeatability, ServiceShare, TableRoute
-from canvasyoke.transport import ExchangeSlot, Reach
+from canvasyoke.transport import ExchangeHandle, ProbeResult
 
 ROUTE = TableRoute(
     name="r",
@@ -39,7 +39,11 @@
         self._send = send
 
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
     ) -> Sending:
         return self._send()
 
@@ -55,7 +59,7 @@
     roster: Roster,
     budget: FleetRetryBudget,
     clock: Clock,
-    reach: Reach = Reach.LISTENING,
+    reach: ProbeResult = ProbeResult.LISTENING,
     quarantine: Quarantine | None = None,
 ) -> Forwarder:
     """Return a forwarder whose crash probe returns ``reach`` for every failed backend."""
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -29,7 +29,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState, TableRoute
-from canvasyoke.transport import ExchangeError, ExchangeSlot
+from canvasyoke.transport import ExchangeError, ExchangeHandle
 
 RESUMABLE = replace(ROUTE, resumable=True, max_attempts=3)
 REFUSAL = NotRun(NotRunCause.FULL, "refused with status 503", notice=BackendNotice(backoff=3_000))
@@ -72,10 +72,14 @@
         self.on_connect: Callable[[Endpoint], object] = lambda _: None
 
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
     ) -> Sending:
         self.on_connect(endpoint)
-        denial_reason = slot.hold(None)
+        denial_reason = slot.attach(None)
         if denial_reason:
             return NotRun(NotRunCause.WITHDRAWN, denial_reason)
         self.reached.append(endpoint.id)
@@ -232,7 +236,7 @@
         entry.roster.record_stream_start(endpoint.run, 100)
     entry.clock.advance(1)
     call = make_call(RESUMABLE)
-    call.slot = ExchangeSlot()
+    call.slot = ExchangeHandle()
     call.backend, call.sent_at = backend, entry.clock.now()
     entry.clock.advance(1_000)
     for endpoint in entry.roster.endpoints():
@@ -246,7 +250,7 @@
     call = silent_call(entry, "b-1")
     assert entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
-    assert call.slot.is_shut
+    assert call.slot.is_cancelled
     assert entry.retries_left() == budget - 1
 
 
@@ -263,7 +267,7 @@
     entry.retries_left()
     assert not entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
-    assert not call.slot.is_shut
+    assert not call.slot.is_cancelled
 
 
 def test_a_stream_stays_with_a_slow_backend_if_no_other_takes_requests() -> None:
--- a/src/canvasyoke/direct/tests/test_crash_detector.py
+++ b/src/canvasyoke/direct/tests/test_crash_detector.py
@@ -14,7 +14,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import make_call
 from canvasyoke.state import Endpoint, EndpointState
-from canvasyoke.transport import Reach, reach
+from canvasyoke.transport import ProbeResult, probe_address
 
 READY = Endpoint("b-1", "ink", "10.0.0.1:1", "nbo-a", 6, EndpointState.READY, 1)
 LEAVING = Endpoint("b-2", "ink", "10.0.0.2:1", "nbo-a", 6, EndpointState.LEAVING, 1)
@@ -22,11 +22,16 @@
 
 #: Backend, result of the connection probe, and expected state.
 LIVENESS_CASES = [
-    ("its end", READY, Reach.REFUSED, BackendLiveness.ENDED),
-    ("a reset, or a group that lost another rank", READY, Reach.LISTENING, BackendLiveness.LISTENS),
-    ("a cut, or a lost packet", READY, Reach.SILENT, BackendLiveness.UNKNOWN),
-    ("a planned end", LEAVING, Reach.REFUSED, BackendLiveness.LEAVING),
-    ("an end that had no word", UNLISTED, Reach.REFUSED, BackendLiveness.LEAVING),
+    ("its end", READY, ProbeResult.REFUSED, BackendLiveness.ENDED),
+    (
+        "a reset, or a group that lost another rank",
+        READY,
+        ProbeResult.LISTENING,
+        BackendLiveness.LISTENS,
+    ),
+    ("a cut, or a lost packet", READY, ProbeResult.SILENT, BackendLiveness.UNKNOWN),
+    ("a planned end", LEAVING, ProbeResult.REFUSED, BackendLiveness.LEAVING),
+    ("an end that had no word", UNLISTED, ProbeResult.REFUSED, BackendLiveness.LEAVING),
 ]
 
 
@@ -36,7 +41,7 @@
     ids=[f[0] for f in LIVENESS_CASES],
 )
 def test_only_an_unplanned_end_counts_as_a_crash(
-    backend: Endpoint, shown: Reach, expected: BackendLiveness
+    backend: Endpoint, shown: ProbeResult, expected: BackendLiveness
 ) -> None:
     roster = Roster("nbo-a", ManualClock(start=10_000), random.Random(1))
     roster.merge([READY, LEAVING], 1)
@@ -49,8 +54,8 @@
 def test_a_port_where_nothing_listens_refuses() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = f"127.0.0.1:{server.getsockname()[1]}"
-        assert reach(address, 1_000) is Reach.LISTENING
-    assert reach(address, 1_000) is Reach.REFUSED
+        assert probe_address(address, 1_000) is ProbeResult.LISTENING
+    assert probe_address(address, 1_000) is ProbeResult.REFUSED
 
 
 BASE = ("POST", "/a/1?x=2", "kibanda", b"body")
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -20,7 +20,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState
-from canvasyoke.transport import ExchangeError, ExchangeSlot
+from canvasyoke.transport import ExchangeError, ExchangeHandle
 
 
 class _BrokenStream(BackendAnswer):
@@ -161,16 +161,16 @@
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, 10_000), clock)
     forwarder = make_forwarder(CannedPort(lambda: MayHaveRun("")), roster, budget, clock)
     call = make_call(RESUMABLE)
-    call.slot, call.backend, call.sent_at = ExchangeSlot(), "b", clock.now()
+    call.slot, call.backend, call.sent_at = ExchangeHandle(), "b", clock.now()
     for _ in range(7):
         assert not forwarder.close_if_unresponsive(call)
         clock.advance(100)
         roster.record_stream_event("a", 100)
     assert forwarder.close_if_unresponsive(call)
-    assert call.slot.is_shut
+    assert call.slot.is_cancelled
     assert not forwarder.close_if_unresponsive(call)
     last = make_call(RESUMABLE)
-    last.slot, last.backend, last.sent_at = ExchangeSlot(), "b", call.sent_at
+    last.slot, last.backend, last.sent_at = ExchangeHandle(), "b", call.sent_at
     last.sent_to.add("a")
     last.sent_to.add("c")
     assert not forwarder.close_if_unresponsive(last)
--- a/src/canvasyoke/direct/tests/test_quarantine.py
+++ b/src/canvasyoke/direct/tests/test_quarantine.py
@@ -23,7 +23,7 @@
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort, make_call, make_forwarder
 from canvasyoke.platform._store import ObjectsFleetStore
 from canvasyoke.state import Endpoint, EndpointState, Repeatability
-from canvasyoke.transport import Reach
+from canvasyoke.transport import ProbeResult
 from fakes.object_store import ObjectStore
 from fakes.store_pool import PlannedClock, StorePool
 
@@ -244,7 +244,9 @@
 class Entry:
     """An entry with ten backends that return scripted responses."""
 
-    def __init__(self, recorder: RecordingQuarantine, reach: Reach = Reach.REFUSED) -> None:
+    def __init__(
+        self, recorder: RecordingQuarantine, reach: ProbeResult = ProbeResult.REFUSED
+    ) -> None:
         self.roster = Roster("nbo-a", recorder.clock, random.Random(1))
         names = [f"b-{n}" for n in range(10)]
         self.roster.merge(
@@ -319,12 +321,12 @@
 
 
 #: Attempts that are no evidence against their request.
-HARMLESS: list[tuple[str, Sending, Reach, bool]] = [
-    ("a reset by a backend that goes on", BROKEN, Reach.LISTENING, False),
-    ("a cut", BROKEN, Reach.SILENT, False),
-    ("time that ran out", MayHaveRun("timed out"), Reach.REFUSED, False),
-    ("a caller that has left", BROKEN, Reach.REFUSED, True),
-    ("a failure of the backend's own", _Answer(500), Reach.REFUSED, False),
+HARMLESS: list[tuple[str, Sending, ProbeResult, bool]] = [
+    ("a reset by a backend that goes on", BROKEN, ProbeResult.LISTENING, False),
+    ("a cut", BROKEN, ProbeResult.SILENT, False),
+    ("time that ran out", MayHaveRun("timed out"), ProbeResult.REFUSED, False),
+    ("a caller that has left", BROKEN, ProbeResult.REFUSED, True),
+    ("a failure of the backend's own", _Answer(500), ProbeResult.REFUSED, False),
 ]
 
 
@@ -332,7 +334,7 @@
     ("sent", "reach", "gone"), [h[1:] for h in HARMLESS], ids=[h[0] for h in HARMLESS]
 )
 def test_failures_without_a_crash_are_no_evidence(
-    recorder: RecordingQuarantine, sent: Sending, reach: Reach, gone: bool
+    recorder: RecordingQuarantine, sent: Sending, reach: ProbeResult, gone: bool
 ) -> None:
     entry = Entry(recorder, reach)
     entry.answer = lambda: sent
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -17,7 +17,7 @@
 from canvasyoke.direct._backend_limits import RateLimit
 from canvasyoke.direct._backend_notices import SharedNotice
 from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
-from canvasyoke.protocol import BackendNews
+from canvasyoke.protocol import BackendUpdate
 from canvasyoke.state import EndpointState, Note
 
 #: Timeout in seconds for an expected event.
@@ -230,7 +230,7 @@
     entry = fleet.entries[fleet.nodes[3].name]
     before = entry.knows()
     session = next(iter(entry.links.open.values()))
-    old = BackendNews("b-1", "ink", "10.9.0.1:9", "domain-0", 3, False, True, 2)
+    old = BackendUpdate("b-1", "ink", "10.9.0.1:9", "domain-0", 3, False, True, 2)
     entry.peers._handle_message(session, old)  # type: ignore[arg-type]
     assert entry.knows() == before
 
--- a/src/canvasyoke/entry/_peer.py
+++ b/src/canvasyoke/entry/_peer.py
@@ -18,15 +18,15 @@
     Cancel,
     Chunk,
     ConfigOffer,
-    ConfigWanted,
+    ConfigRequest,
     Drained,
     End,
     Forget,
-    Go,
     Head,
     Load,
     LoadReport,
     Message,
+    Proceed,
     Queued,
     Ready,
     Refused,
@@ -137,7 +137,7 @@
     @property
     def fault(self) -> str:
         """Return why the link does not stand; empty when it does."""
-        return "" if self.connected else self._client.last_fault
+        return "" if self.connected else self._client.last_error
 
     @property
     def in_flight(self) -> int:
@@ -191,7 +191,7 @@
 
     def go(self, attempt: Attempt) -> None:
         """Take the slot that the target holds for a request that stood by."""
-        self.send(Go(attempt.run.request, attempt.run.attempt))
+        self.send(Proceed(attempt.run.request, attempt.run.attempt))
 
     def cancel(self, attempt: Attempt) -> None:
         """Ask the target to stop, and keep listening for what it says to that."""
@@ -220,7 +220,7 @@
                 attempt.put(Lost())
 
     def _closed(self, session: Session) -> None:
-        _log.info("target is down", target=session.peer, fault=self._client.last_fault)
+        _log.info("target is down", target=session.peer, fault=self._client.last_error)
         with self._lock:
             if self._session is session:
                 self._session = None
@@ -238,7 +238,7 @@
                 self.drained = True
             case ConfigOffer():
                 self._on_offer(message)
-            case ConfigWanted():
+            case ConfigRequest():
                 self._on_wanted(session, message.generation)
             case _:
                 _log.warning("message of the wrong kind", target=session.peer)
--- a/src/canvasyoke/entry/_peers.py
+++ b/src/canvasyoke/entry/_peers.py
@@ -20,7 +20,7 @@
 )
 from canvasyoke.entry._peer import Peer
 from canvasyoke.observe import part_logger
-from canvasyoke.protocol import ConfigOffer, ConfigWanted, Reason
+from canvasyoke.protocol import ConfigOffer, ConfigRequest, Reason
 from canvasyoke.state import (
     ConfigKeeper,
     ConfigView,
@@ -184,7 +184,7 @@
         if report.generation < generation and peer.offered < generation:
             self.offer_config(peer)
         elif report.generation > generation:
-            peer.send(ConfigWanted(generation))
+            peer.send(ConfigRequest(generation))
 
     def offer_config(self, peer: Peer) -> None:
         """Send the configuration in force to ``peer``."""
--- a/src/canvasyoke/experts/_linked_group.py
+++ b/src/canvasyoke/experts/_linked_group.py
@@ -25,9 +25,9 @@
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     Message,
-    RankLost,
+    RankDisconnected,
     RankOrder,
-    RankOrdered,
+    RankOrderResult,
     RankOrders,
     RankReading,
     RelayedReadings,
@@ -55,7 +55,7 @@
     """Answers that a call is waiting for."""
 
     missing: set[int] = field(default_factory=set)
-    answers: dict[int, RankOrdered] = field(default_factory=dict)
+    answers: dict[int, RankOrderResult] = field(default_factory=dict)
 
 
 class LinkedGroup(RankGroup):
@@ -103,9 +103,9 @@
                 self._on_readings(session, [message], message.counts)
             case RelayedReadings():
                 self._on_readings(session, message.readings, message.counts)
-            case RankLost():
+            case RankDisconnected():
                 self._on_rank_lost(session, message.rank)
-            case RankOrdered():
+            case RankOrderResult():
                 self._on_answer(message)
 
     def _on_readings(self, session: Session, readings: list[RankReading], packed: bytes) -> None:
@@ -126,7 +126,7 @@
             if link is not None and link.session is session:
                 del self._links[rank]
 
-    def _on_answer(self, message: RankOrdered) -> None:
+    def _on_answer(self, message: RankOrderResult) -> None:
         with self._condition:
             if message.order in self._calls:
                 pending, rank = self._calls.pop(message.order)
--- a/src/canvasyoke/experts/_owner_link.py
+++ b/src/canvasyoke/experts/_owner_link.py
@@ -101,7 +101,7 @@
         """
         session = self._session
         if session is not None and not session.closed:
-            return session.silence
+            return session.time_since_received
         return self._clock.now() - self._last_linked_at
 
     def use_key(self, link_key: bytes) -> None:
--- a/src/canvasyoke/experts/_rank_client.py
+++ b/src/canvasyoke/experts/_rank_client.py
@@ -17,7 +17,7 @@
     RankUnreachable,
 )
 from canvasyoke.observe import part_logger
-from canvasyoke.protocol import RankOrder, RankOrdered, RankReading
+from canvasyoke.protocol import RankOrder, RankOrderResult, RankReading
 
 _log = part_logger("map")
 #: Kinds of orders that request a report, without and with the rank's layers.
@@ -74,14 +74,14 @@
             _log.warning("undecodable expert map", order=message.order, cause=exc)
             return OrderResult(OrderOutcome.REJECTED)
 
-    def handle_order(self, message: RankOrder) -> RankOrdered:
+    def handle_order(self, message: RankOrder) -> RankOrderResult:
         """Execute an order received over a link and return the answer."""
         result = self.execute(message)
         reading = None
         if result.report is not None:
             rank_map = self.layers() if message.kind == READ_LAYERS else None
             reading = to_reading(result.report, [], rank_map)
-        return RankOrdered(message.order, result.outcome.value, reading)
+        return RankOrderResult(message.order, result.outcome.value, reading)
 
 
 def _decode_order(message: RankOrder) -> MapOrder:
--- a/src/canvasyoke/experts/_relay.py
+++ b/src/canvasyoke/experts/_relay.py
@@ -19,9 +19,9 @@
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import (
     Message,
-    RankLost,
+    RankDisconnected,
     RankOrder,
-    RankOrdered,
+    RankOrderResult,
     RankReading,
     RelayedReadings,
 )
@@ -96,7 +96,7 @@
         """Handle a message from another rank process of the domain."""
         if isinstance(message, RankReading):
             self._on_reading(session, message)
-        elif isinstance(message, RankOrdered):
+        elif isinstance(message, RankOrderResult):
             self._forward_to_owner(message)
 
     def _on_reading(self, session: Session, reading: RankReading) -> None:
@@ -118,7 +118,7 @@
                 del self._sessions[rank]
                 self._readings.pop(rank, None)
         for rank in lost:
-            self._forward_to_owner(RankLost(rank))
+            self._forward_to_owner(RankDisconnected(rank))
 
     def send_readings(self, owner: Session, own: RankReading, own_counts: list[int]) -> None:
         """Send the owner the ranks' readings, with the sum of their counts since the last call."""
--- a/src/canvasyoke/platform/_engine.py
+++ b/src/canvasyoke/platform/_engine.py
@@ -20,7 +20,14 @@
 from canvasyoke.platform._notices import LEAVING_HEADER, LIMIT_HEADER, LOAD_HEADER, read_notice
 from canvasyoke.platform._ranks import ObjectsRankPort
 from canvasyoke.state import Endpoint
-from canvasyoke.transport import Exchange, ExchangeSlot, NotConnected, Sent, Withdrawn, exchange
+from canvasyoke.transport import (
+    Exchange,
+    ExchangeHandle,
+    NoResponse,
+    NotConnected,
+    Withdrawn,
+    exchange,
+)
 
 _REQUEST_ID: Final = "Attempt-Id"
 _TIME_LEFT: Final = "Request-Deadline"
@@ -74,11 +81,11 @@
 
     def pieces(self) -> Iterator[bytes]:
         """Yield the body."""
-        return self._exchange.pieces()
+        return self._exchange.chunks()
 
     def wait_at_most(self, duration: int) -> None:
         """Bound each further read."""
-        self._exchange.wait_at_most(duration)
+        self._exchange.set_read_timeout(duration)
 
     def close(self) -> None:
         """Close the connection."""
@@ -90,7 +97,11 @@
     """HTTP with the platform's headers."""
 
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
     ) -> Sending:
         """Send ``request`` to ``endpoint``."""
         sent = exchange(
@@ -101,14 +112,14 @@
             request.body,
             connect_timeout=connect_timeout,
             read_timeout=request.time_left,
-            slot=slot,
+            handle=slot,
         )
         if isinstance(sent, NotConnected):
             return NotRun(NotRunCause.UNREACHABLE, sent.detail)
         if isinstance(sent, Withdrawn):
             return NotRun(NotRunCause.WITHDRAWN, sent.detail)
-        if isinstance(sent, Sent):
-            return MayHaveRun(sent.detail, is_broken=not sent.is_late)
+        if isinstance(sent, NoResponse):
+            return MayHaveRun(sent.detail, is_broken=not sent.is_timeout)
         return _classify(sent, request.request_id)
 
     def pace_of(self, endpoint: Endpoint) -> float | None:
--- a/src/canvasyoke/protocol/_codec.py
+++ b/src/canvasyoke/protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Batches of messages as MessagePack, by msgspec."""
+"""Encodes batches of messages as MessagePack."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class CodecError(ValueError):
-    """Bytes that are not a batch of known messages."""
+    """Data that is not a valid batch of messages."""
 
 
 def encode_batch(messages: Sequence[Message]) -> bytes:
-    """Return the bytes of ``messages``."""
+    """Encode ``messages``."""
     return _encoder.encode(messages)
 
 
 def decode_batch(data: bytes) -> list[Message]:
-    """Return the messages in ``data`` or raise :class:`CodecError`."""
+    """Decode a batch; raises :class:`CodecError` if it is invalid."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
--- a/src/canvasyoke/protocol/_key.py
+++ b/src/canvasyoke/protocol/_key.py
@@ -1,8 +1,8 @@
-"""Keys that make a repeated request recognisable and tell when it was first made.
+"""Idempotency keys that contain the time of the first attempt.
 
-A key is a UUID of version 7 (RFC 9562): its first 48 bits are milliseconds since
-1970. The time lets a new holder of a key's slot refuse what its predecessor may
-already have run, without any record of it.
+A key is a UUID of version 7 (RFC 9562), whose first 48 bits are the Unix time in milliseconds.
+With it, a new holder of a key's slot can refuse requests that the previous holder may
+have run, without access to that holder's records.
 
 >>> key_time(new_key(1_700_000_000_000, random.Random(1)))
 1700000000000
@@ -24,7 +24,7 @@
 
 
 def key_time(key: str) -> int:
-    """Return the milliseconds in ``key`` or raise :class:`MalformedKeyError`."""
+    """Return the Unix time in ``key`` in milliseconds; raises :class:`MalformedKeyError`."""
     try:
         value = uuid.UUID(key)
     except ValueError:
@@ -35,7 +35,7 @@
 
 
 def new_key(wall: int, rng: random.Random) -> str:
-    """Return a key for a request first made at ``wall`` milliseconds."""
+    """Return a key for a request first sent at Unix time ``wall`` in milliseconds."""
     time_part = (wall & ((1 << _TIME_BITS) - 1)) << _TIME_SHIFT
-    noise = rng.getrandbits(_TIME_SHIFT) & ~(0xF << 76) & ~(0x3 << 62)
-    return str(uuid.UUID(int=time_part | noise | (_VERSION << 76) | (0x2 << 62)))
+    random_bits = rng.getrandbits(_TIME_SHIFT) & ~(0xF << 76) & ~(0x3 << 62)
+    return str(uuid.UUID(int=time_part | random_bits | (_VERSION << 76) | (0x2 << 62)))
--- a/src/canvasyoke/protocol/_messages.py
+++ b/src/canvasyoke/protocol/_messages.py
@@ -1,9 +1,8 @@
-"""The messages between an entry and a target, and between targets of a group.
+"""Messages between processes.
 
-Every message is a tagged msgspec structure, so that the codec checks types and
-bounds on arrival. ``request`` names a request within one entry incarnation and
-``attempt`` one try at it: an answer to an old attempt never reaches the caller
-of a newer one.
+Every message is a tagged msgspec structure, so that decoding validates types and bounds.
+``request`` identifies a request within one run of an entry and ``attempt`` one attempt at it,
+so that responses to earlier attempts are discarded.
 """
 
 from __future__ import annotations
@@ -12,20 +11,20 @@
 
 import msgspec
 
-#: A name of an instance, service, organisation, file or group.
+#: Name of an instance, service, organisation, file or group.
 Name: TypeAlias = Annotated[str, msgspec.Meta(max_length=200)]
-#: Header names and values in the order they came.
+#: Header names and values, in the order received.
 Headers: TypeAlias = Annotated[list[tuple[str, str]], msgspec.Meta(max_length=100)]
 #: A count or a duration in milliseconds.
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Run(msgspec.Struct, frozen=True, tag="run"):
-    """Entry to target: run this request."""
+    """Entry to target: run a request."""
 
     request: Count
     attempt: Count
-    #: Id that appears in the logs of every process the request passes.
+    #: Request id in the logs of all processes.
     request_id: Name
     organisation: Name
     service: Name
@@ -34,50 +33,50 @@
     path: Annotated[str, msgspec.Meta(max_length=8_192)]
     headers: Headers
     body: bytes
-    #: Milliseconds the caller will still wait.
+    #: Milliseconds until the caller's deadline.
     remaining: Count
-    #: Lower runs first.
+    #: Lower values run first.
     priority: Annotated[int, msgspec.Meta(ge=0, le=7)]
     repeatable: bool
-    #: Key that makes repetitions recognisable; empty for repeatable requests.
+    #: Idempotency key; empty for repeatable requests.
     key: Name = ""
-    #: Index of the first chunk wanted; larger than 0 when a stream is resumed.
+    #: Index of the first chunk to send; greater than 0 when a stream is resumed.
     offset: Count = 0
-    #: Whether the request stands in line elsewhere too: when its turn comes, the
-    #: target says ``Ready`` and waits for ``Go`` before it runs.
+    #: Whether the request is also queued at another target. When a slot is free, the
+    #: target sends ``Ready`` and waits for ``Proceed`` before running it.
     standby: bool = False
 
 
-class Go(msgspec.Struct, frozen=True, tag="go"):
-    """Entry to target: run the request that is ready."""
+class Proceed(msgspec.Struct, frozen=True, tag="go"):
+    """Entry to target: run the request for which ``Ready`` was sent."""
 
     request: Count
     attempt: Count
 
 
 class Queued(msgspec.Struct, frozen=True, tag="queued"):
-    """Target to entry: the request has to wait here."""
+    """Target to entry: the request was queued."""
 
     request: Count
     attempt: Count
 
 
 class Started(msgspec.Struct, frozen=True, tag="started"):
-    """Target to entry: the request that had to wait runs now."""
+    """Target to entry: the queued request has started."""
 
     request: Count
     attempt: Count
 
 
 class Ready(msgspec.Struct, frozen=True, tag="ready"):
-    """Target to entry: a slot is free for a request that stands by; ``Go`` takes it."""
+    """Target to entry: a slot is reserved for a standby request, which ``Proceed`` starts."""
 
     request: Count
     attempt: Count
 
 
 class Resume(msgspec.Struct, frozen=True, tag="resume"):
-    """Entry to target: after a link broke, send again from ``offset``."""
+    """Entry to target: resend the response from ``offset``, after a link failure."""
 
     request: Count
     attempt: Count
@@ -85,21 +84,21 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel"):
-    """Entry to target: the caller has gone; stop what can be stopped."""
+    """Entry to target: the caller has disconnected; stop the request if possible."""
 
     request: Count
     attempt: Count
 
 
 class Forget(msgspec.Struct, frozen=True, tag="forget"):
-    """Entry to target: the answer arrived whole; its buffer may go."""
+    """Entry to target: the response is complete; its buffer can be released."""
 
     request: Count
     attempt: Count
 
 
 class Head(msgspec.Struct, frozen=True, tag="head"):
-    """Target to entry: the answer begins."""
+    """Target to entry: status and headers of the response."""
 
     request: Count
     attempt: Count
@@ -108,17 +107,17 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, tag="chunk"):
-    """Target to entry: one piece of the answer."""
+    """Target to entry: one chunk of the response body."""
 
     request: Count
     attempt: Count
-    #: Index of this piece; pieces are consecutive.
+    #: Index of this chunk; chunks are consecutive.
     offset: Count
     data: bytes
 
 
 class End(msgspec.Struct, frozen=True, tag="end"):
-    """Target to entry: the answer is whole and has this many pieces."""
+    """Target to entry: the response is complete, with this number of chunks."""
 
     request: Count
     attempt: Count
@@ -126,7 +125,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """Target to entry: there will be no more of an answer to this attempt."""
+    """Target to entry: the attempt ended without a complete response."""
 
     request: Count
     attempt: Count
@@ -137,7 +136,7 @@
 
 
 class SlotClaim(msgspec.Struct, frozen=True):
-    """A slot of a service's keys that the reporting target holds."""
+    """A key slot of a service that the reporting target holds."""
 
     slot: Count
     #: Version of the service's slot table under which it is held.
@@ -145,64 +144,64 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, tag="load"):
-    """Target to entry: what the target knows of itself, sent on change and in turn."""
+    """Target to entry: the target's state, sent on change and periodically."""
 
     instance: Name
     domain: Name
     service: Name
-    #: Requests running and waiting, and how many may run at once.
+    #: Running and queued requests, and the maximum number of running ones.
     running: Count
     queued: Count
     slots: Count
-    #: Milliseconds a request takes at present, smoothed; 0 when none has ended.
+    #: Smoothed request duration in milliseconds; 0 before the first has ended.
     duration: Count
-    #: Generation of the configuration in force at the target.
+    #: Generation of the target's configuration.
     generation: Count
     leaving: bool
-    #: Whether the backend answers.
+    #: Whether the backend responds.
     healthy: bool
-    #: Slots of non-repeatable keys held, when the service has any.
+    #: Key slots held, if the service has non-repeatable requests.
     homes: Annotated[list[SlotClaim], msgspec.Meta(max_length=1_024)] = []
-    #: Rank group, rank and what the rank last reported; empty without a group.
+    #: Rank group and rank; empty without a group.
     group: Name = ""
     rank: Count = 0
-    #: Epoch and number of the expert map in force at the rank.
+    #: Epoch and number of the rank's current expert map.
     map_epoch: Count = 0
     map_number: Count = 0
-    #: Skew of the group's recent steps in thousandths of the mean, by the owner.
+    #: Skew of the group's recent steps in thousandths of the mean; set by the owner.
     skew: Count = 0
-    #: Moves of experts under way, by the owner.
+    #: Expert moves in progress; set by the owner.
     moves: Count = 0
     #: Whether this target's process owns the group's map.
     owner: bool = False
 
 
 class Load(msgspec.Struct, frozen=True, tag="load_now"):
-    """Target to entry, along with answers: the part of the report that changes fast."""
+    """Target to entry: the frequently changing part of the report, sent with responses."""
 
     running: Count
     queued: Count
-    #: Milliseconds a request takes at present, smoothed; 0 when none has ended.
+    #: Smoothed request duration in milliseconds; 0 before the first has ended.
     duration: Count
 
 
 class ConfigOffer(msgspec.Struct, frozen=True, tag="config"):
-    """Entry to target: a generation of the configuration, whole."""
+    """Entry to target: a complete generation of the configuration."""
 
     generation: Count
-    #: The root object and each content object, as kept in the platform.
+    #: The root object and the content objects, as stored in the platform.
     root: bytes
     contents: Annotated[dict[str, bytes], msgspec.Meta(max_length=1_000)]
 
 
-class ConfigWanted(msgspec.Struct, frozen=True, tag="config_wanted"):
-    """Either way: send your configuration if its generation is above this one."""
+class ConfigRequest(msgspec.Struct, frozen=True, tag="config_wanted"):
+    """Entry or target: requests the peer's configuration if it is of a higher generation."""
 
     generation: Count
 
 
 class Drained(msgspec.Struct, frozen=True, tag="drained"):
-    """Target to entry: the target has finished its work and is about to exit."""
+    """Target to entry: the target has no requests left and is about to exit."""
 
     instance: Name
 
@@ -216,11 +215,11 @@
 
 
 class GroupOrder(msgspec.Struct, frozen=True, tag="group_order"):
-    """Map owner to a rank's target: do one thing with an expert map."""
+    """Map owner to a rank's target: an operation on an expert map."""
 
     order: Count
     group: Name
-    #: Rank the order is for; a target that is another rank refuses it.
+    #: Rank that executes the order; targets of other ranks reject it.
     rank: Count
     epoch: Count
     number: Count
@@ -228,36 +227,36 @@
     action: Name
     #: Step at which an activation takes effect.
     step: Count = 0
-    #: For ``prepare``: begin no further step until this map is in force. For
-    #: ``activate``: give up an earlier step that cannot end.
+    #: For ``prepare``: start no further step until this map is active. For
+    #: ``activate``: abort an earlier step that cannot complete.
     jump: bool = False
     #: Ranks of the map, for ``prepare``.
     ranks: Annotated[list[int], msgspec.Meta(max_length=1_024)] = []
-    #: The whole map, for ``prepare``.
+    #: The complete map, for ``prepare``.
     replicas: Annotated[list[ExpertReplica], msgspec.Meta(max_length=200_000)] = []
 
 
 class GroupReply(msgspec.Struct, frozen=True, tag="group_reply"):
-    """A rank's target to the map owner."""
+    """A rank's target to the map owner: the result of an order."""
 
     order: Count
     ok: bool
     detail: Annotated[str, msgspec.Meta(max_length=2_000)] = ""
-    #: Highest map the rank has in force or prepared.
+    #: Highest map that the rank has activated or prepared.
     epoch: Count = 0
     number: Count = 0
     step: Count = 0
     #: Tokens per expert, layer by layer, since the last ``counts`` order.
     counts: Annotated[list[list[int]], msgspec.Meta(max_length=200)] = []
-    #: Mean time of the rank's own part of recent steps, in microseconds.
+    #: Mean duration of the rank's own work in recent steps, in microseconds.
     step_time: Count = 0
-    #: The map in force at the rank, for ``highest``.
+    #: The rank's active map, for ``highest``.
     ranks: Annotated[list[int], msgspec.Meta(max_length=1_024)] = []
     replicas: Annotated[list[ExpertReplica], msgspec.Meta(max_length=200_000)] = []
 
 
 class RankReading(msgspec.Struct, frozen=True, tag="rank_reading"):
-    """Process beside a rank to the owner of its group's map: what the rank says."""
+    """Rank process to the owner of its group's map: the rank's state."""
 
     rank: Count
     epoch: Count
@@ -269,29 +268,29 @@
     armed_version: Count
     armed_step: Count
     held_step: Count
-    #: How often each expert was chosen since the last reading, layer by layer; empty
-    #: when they were not read. Packed by the package that reads them.
+    #: Selections of each expert since the last reading, layer by layer; empty if not
+    #: read. Packed by :mod:`canvasyoke.experts`.
     counts: Annotated[bytes, msgspec.Meta(max_length=1_000_000)] = b""
-    #: Experts by layer that the rank holds; only when asked for.
+    #: Experts that the rank holds, by layer; only if requested.
     layers: Annotated[list[list[int]], msgspec.Meta(max_length=1_000)] = []
-    #: How many times as long as usual the rank takes for the same work.
+    #: Ratio of the rank's current to its usual time for the same work.
     pace: Annotated[float, msgspec.Meta(ge=1)] = 1.0
 
 
 class RankOrder(msgspec.Struct, frozen=True, tag="rank_order"):
-    """Owner of a group's map to the process beside a rank: give your rank an order."""
+    """Owner of a group's map to a rank process: an order for its rank."""
 
-    #: Numbers the order within one run of the owner.
+    #: Number of the order within one run of the owner.
     order: Count
-    #: Kind of the order; empty to ask for a reading with the layers in it.
+    #: Kind of the order; empty to request a reading with layers.
     kind: Name
     fence: Count
     epoch: Count
     version: Count = 0
     step: Count = 0
-    #: For ``prepare``: experts by rank and layer, packed by the package that reads them.
+    #: For ``prepare``: experts by rank and layer, packed by :mod:`canvasyoke.experts`.
     layers_by_rank: Annotated[bytes, msgspec.Meta(max_length=1_000_000)] = b""
-    #: Rank that is to carry it out.
+    #: Rank that executes the order.
     rank: Count = 0
 
 
@@ -299,30 +298,30 @@
     """Owner of a group's map to a relay: orders for the ranks of its domain."""
 
     orders: Annotated[list[RankOrder], msgspec.Meta(max_length=1_024)]
-    #: The map that all of them are for; empty where they are for none.
+    #: The map shared by all orders; empty if they have none.
     layers_by_rank: Annotated[bytes, msgspec.Meta(max_length=1_000_000)] = b""
 
 
 class RelayedReadings(msgspec.Struct, frozen=True, tag="relayed_readings"):
-    """Relay to the owner of a group's map: what the ranks of its domain say."""
+    """Relay to the owner of a group's map: readings of the ranks of its domain."""
 
-    #: Without counts.
+    #: Readings without counts.
     readings: Annotated[list[RankReading], msgspec.Meta(max_length=1_024)]
-    #: The sums of the ranks' counts, packed.
+    #: Sums of the ranks' counts, packed.
     counts: Annotated[bytes, msgspec.Meta(max_length=1_000_000)] = b""
 
 
-class RankLost(msgspec.Struct, frozen=True, tag="rank_lost"):
-    """Relay to the owner of a group's map: a rank is not linked any more."""
+class RankDisconnected(msgspec.Struct, frozen=True, tag="rank_lost"):
+    """Relay to the owner of a group's map: a rank has disconnected."""
 
     rank: Count
 
 
-class RankOrdered(msgspec.Struct, frozen=True, tag="rank_ordered"):
-    """What became of a :class:`RankOrder`, and what the rank says after it."""
+class RankOrderResult(msgspec.Struct, frozen=True, tag="rank_ordered"):
+    """Result of a :class:`RankOrder`, and the rank's state after it."""
 
     order: Count
-    #: One of the outcomes of an order.
+    #: Value of an order outcome.
     outcome: Name
     reading: RankReading | None = None
 
@@ -331,62 +330,62 @@
     """An entry that watches the store for its failure domain."""
 
     name: Name
-    #: Milliseconds since it said so itself.
+    #: Milliseconds since the entry announced it.
     age: Count
-    #: Whether it has lost the store.
+    #: Whether it has lost its connection to the store.
     is_lost: bool = False
 
 
 class RelayedLoad(msgspec.Struct, frozen=True):
-    """What another entry of the same failure domain has under way."""
+    """Requests in progress at another entry of the same failure domain."""
 
     entry: Name
-    #: Time on that entry's clock.
+    #: Time of the report on that entry's clock.
     told_at: Count
-    #: Requests under way by id of the backend.
+    #: Requests in progress by backend id.
     under_way: Annotated[dict[str, int], msgspec.Meta(max_length=20_000)] = {}
 
 
 class EntryLoad(msgspec.Struct, frozen=True, tag="entry_load"):
-    """Direct entry to entry: what it has under way, and how much it knows."""
+    """Direct entry to entry: its requests in progress and the versions of its state."""
 
     config_version: Count
-    #: Requests under way by id of the backend.
+    #: Requests in progress by backend id.
     under_way: Annotated[dict[str, int], msgspec.Meta(max_length=20_000)] = {}
-    #: Time on the entry's clock.
+    #: Time of the report on the entry's clock.
     told_at: Count = 0
-    #: Position in the store's history up to which the entry knows all backends; 0 for none.
+    #: Store position up to which the entry knows all backends; 0 for none.
     backends_revision: Count = 0
-    #: Milliseconds since that list was known to be in step with the store.
+    #: Milliseconds since that list was confirmed to match the store.
     backends_age: Count = 0
-    #: Who watches the store; told within a domain.
+    #: Entries that watch the store; sent within a domain.
     watchers: Annotated[list[StoreWatcher], msgspec.Meta(max_length=100)] = []
-    #: Requests a second that callers ask of services here, while a backend names a limit.
+    #: Callers' request rate per second by service, while a backend has a rate limit.
     demands: Annotated[dict[str, float], msgspec.Meta(max_length=1_000)] = {}
-    #: Loads heard since the last telling; told within a domain of an overlay.
+    #: Loads received since the last report; sent within a domain of an overlay.
     relayed: Annotated[list[RelayedLoad], msgspec.Meta(max_length=10_000)] = []
 
 
-class TableWanted(msgspec.Struct, frozen=True, tag="table_wanted"):
-    """Direct entry to entry: asks for the configuration that the other one told of."""
+class TableRequest(msgspec.Struct, frozen=True, tag="table_wanted"):
+    """Direct entry to entry: requests the configuration that the peer has announced."""
 
-    #: Version that the asking one follows; 0 for none.
+    #: Version that the requesting entry uses; 0 for none.
     version: Count
 
 
-class BackendsWanted(msgspec.Struct, frozen=True, tag="backends_wanted"):
-    """Direct entry to entry: asks for all backends, since the other one knows more."""
+class BackendListRequest(msgspec.Struct, frozen=True, tag="backends_wanted"):
+    """Direct entry to entry: requests the complete list of backends."""
 
 
 class TableDocument(msgspec.Struct, frozen=True, tag="table_document"):
-    """Direct entry to entry: a configuration that the other one lacks, packed."""
+    """Direct entry to entry: a newer configuration, packed."""
 
     version: Count
     document: bytes
 
 
-class BackendNews(msgspec.Struct, frozen=True, tag="backend_news"):
-    """Direct entry to entry: what the store says of one backend."""
+class BackendUpdate(msgspec.Struct, frozen=True, tag="backend_news"):
+    """Direct entry to entry: the state of one backend in the store."""
 
     id: Name
     service: Name
@@ -394,101 +393,101 @@
     domain: Name
     slots: Count
     leaving: bool
-    #: Whether its entry was removed.
+    #: Whether its store entry was removed.
     gone: bool
-    #: Position in the store's history at which this came to be, era above revision.
+    #: Store position of this change: the era in the high bits, the revision below.
     revision: Count
-    #: Whether the store's watch had left it out, so that it was found in a list.
+    #: Whether the store's watch missed the change, so that it was found in a list.
     was_lost: bool = False
-    #: Its start by its own clock; 0 if it does not say.
+    #: Start time on the backend's clock; 0 if unknown.
     started: Count = 0
 
 
 class BackendList(msgspec.Struct, frozen=True, tag="backend_list"):
-    """Direct entry to entry: all backends that it knows."""
+    """Direct entry to entry: all known backends."""
 
-    #: Position in the store's history up to which the list is complete.
+    #: Store position up to which the list is complete.
     revision: Count
-    backends: Annotated[list[BackendNews], msgspec.Meta(max_length=20_000)] = []
-    #: Rank groups learned so far by id of the backend; empty where it is in none.
+    backends: Annotated[list[BackendUpdate], msgspec.Meta(max_length=20_000)] = []
+    #: Known rank groups by backend id; empty for a backend without a group.
     groups: Annotated[dict[str, str], msgspec.Meta(max_length=20_000)] = {}
 
 
-class GroupNews(msgspec.Struct, frozen=True, tag="group_news"):
-    """Direct entry to entry: which rank group a backend belongs to."""
+class GroupUpdate(msgspec.Struct, frozen=True, tag="group_news"):
+    """Direct entry to entry: the rank group of a backend."""
 
     backend: Name
-    #: Empty where it is in none.
+    #: Empty if the backend has no group.
     group: Annotated[str, msgspec.Meta(max_length=200)] = ""
 
 
-class PaceNews(msgspec.Struct, frozen=True, tag="pace_news"):
-    """Direct entry to entry: a backend takes longer for its work than it should."""
+class PaceUpdate(msgspec.Struct, frozen=True, tag="pace_news"):
+    """Direct entry to entry: a backend is slower than usual."""
 
     backend: Name
-    #: How many times as long as usual.
+    #: Ratio of the current to the usual time for the same work.
     pace: Annotated[float, msgspec.Meta(ge=1)]
 
 
-class SilenceNews(msgspec.Struct, frozen=True, tag="silence_news"):
-    """Direct entry to entry: a backend takes requests and says nothing, though its group does."""
+class BackendUnresponsive(msgspec.Struct, frozen=True, tag="silence_news"):
+    """Direct entry to entry: a backend accepts requests but does not respond, unlike its group."""
 
     backend: Name
 
 
-class CrashNews(msgspec.Struct, frozen=True, tag="crash_news"):
-    """Direct entry to entry: backends have ended under a request, or it was cleared."""
+class CrashUpdate(msgspec.Struct, frozen=True, tag="crash_news"):
+    """Direct entry to entry: backends crashed during a request, or it was cleared."""
 
     #: Digest of the request.
     fingerprint: Annotated[str, msgspec.Meta(max_length=64)]
-    #: How often it was cleared.
+    #: Number of times it was cleared.
     cleared: Count
-    #: Runs of backends that have ended under it since.
+    #: Backend runs that crashed during it since.
     runs: Annotated[list[Name], msgspec.Meta(max_length=10_000)] = []
-    #: Whether an entry has found that it is to blame.
+    #: Whether an entry has found it to be the cause.
     is_blamed: bool = False
 
 
 class CrashList(msgspec.Struct, frozen=True, tag="crash_list"):
-    """Direct entry to entry: all that it knows of such requests, over a link that is new."""
+    """Direct entry to entry: all known crash cases, sent when a link is established."""
 
-    cases: Annotated[list[CrashNews], msgspec.Meta(max_length=10_000)] = []
+    cases: Annotated[list[CrashUpdate], msgspec.Meta(max_length=10_000)] = []
 
 
-class LimitWord(msgspec.Struct, frozen=True):
-    """What a backend has said of the requests that it takes from all entries together."""
+class RelayedLimit(msgspec.Struct, frozen=True):
+    """A backend's rate limit for all entries together."""
 
-    #: Milliseconds since an entry heard it from the backend.
+    #: Milliseconds since an entry received it from the backend.
     age: Count
-    #: Requests a second; ``None`` where it takes whatever comes.
+    #: Requests per second; ``None`` for no limit.
     rate: Annotated[float, msgspec.Meta(ge=0)] | None = None
 
 
-class BackendWord(msgspec.Struct, frozen=True):
-    """What a run of a backend has said of itself to one of the entries."""
+class RelayedNotice(msgspec.Struct, frozen=True):
+    """Notice that a backend run has sent to one of the entries."""
 
     backend: Name
     address: Name
-    #: Milliseconds for which it wants nothing from that entry; 0 for none.
+    #: Milliseconds of backoff requested from that entry; 0 for none.
     backoff: Count = 0
-    #: Whether it is about to end.
+    #: Whether it is about to shut down.
     is_leaving: bool = False
-    #: ``None`` if it has never named a limit.
-    limit: LimitWord | None = None
+    #: ``None`` if it has never reported a limit.
+    limit: RelayedLimit | None = None
 
 
-class BackendWords(msgspec.Struct, frozen=True, tag="backend_words"):
-    """Direct entry to entry: what backends have said in their answers."""
+class RelayedNotices(msgspec.Struct, frozen=True, tag="backend_words"):
+    """Direct entry to entry: notices that backends have sent in their responses."""
 
-    words: Annotated[list[BackendWord], msgspec.Meta(max_length=20_000)]
+    words: Annotated[list[RelayedNotice], msgspec.Meta(max_length=20_000)]
 
 
-#: Whatever may stand in a frame.
+#: Any message in a frame.
 Message: TypeAlias = (
     Run
     | Resume
     | Cancel
-    | Go
+    | Proceed
     | Queued
     | Started
     | Ready
@@ -500,7 +499,7 @@
     | Load
     | LoadReport
     | ConfigOffer
-    | ConfigWanted
+    | ConfigRequest
     | Drained
     | GroupOrder
     | GroupReply
@@ -508,18 +507,18 @@
     | RankOrder
     | RankOrders
     | RelayedReadings
-    | RankLost
-    | RankOrdered
+    | RankDisconnected
+    | RankOrderResult
     | EntryLoad
-    | TableWanted
+    | TableRequest
     | TableDocument
-    | BackendsWanted
-    | BackendNews
+    | BackendListRequest
+    | BackendUpdate
     | BackendList
-    | GroupNews
-    | PaceNews
-    | SilenceNews
-    | CrashNews
+    | GroupUpdate
+    | PaceUpdate
+    | BackendUnresponsive
+    | CrashUpdate
     | CrashList
-    | BackendWords
+    | RelayedNotices
 )
--- a/src/canvasyoke/protocol/_outcome.py
+++ b/src/canvasyoke/protocol/_outcome.py
@@ -1,8 +1,7 @@
-"""What a caller is told: answered, certainly not run, or unknown.
+"""Outcomes of a request: answered, not run, or unknown.
 
-The three are distinct because callers act on them differently: a request that
-was not run may be sent again at once, one whose outcome is unknown may not when
-it must not be repeated.
+Callers may retry a request that was not run at once, but must not retry a non-repeatable
+request whose outcome is unknown.
 """
 
 from __future__ import annotations
@@ -13,18 +12,18 @@
 
 
 class Outcome(enum.StrEnum):
-    """The certainty with which a request is known to have run."""
+    """Whether a request has run."""
 
-    #: The whole answer was delivered.
+    #: The complete response was delivered.
     ANSWERED = "answered"
-    #: The request did not run and never will.
+    #: The request has not run and will not run.
     NOT_RUN = "not_run"
-    #: The request may have run, wholly or in part.
+    #: The request may have run, completely or partially.
     UNKNOWN = "unknown"
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused; each has a line in docs/REFUSALS.md."""
+    """Why a request was refused, as documented in docs/REFUSALS.md."""
 
     MALFORMED = "malformed"
     UNAUTHENTICATED = "unauthenticated"
@@ -81,15 +80,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request's final answer when there is no answer to give."""
+    """The final result of a request that has no response."""
 
     #: Whether the request may have run; never ``ANSWERED``.
     outcome: Outcome
-    #: The cause, from a closed list.
+    #: The cause.
     reason: Reason
-    #: One sentence for a person.
+    #: Human-readable description.
     detail: str = ""
-    #: Milliseconds after which asking again makes sense; 0 when it never does.
+    #: Milliseconds after which a retry may succeed; 0 if retrying is useless.
     retry_after: int = 0
 
     @property
--- a/src/canvasyoke/protocol/_seal.py
+++ b/src/canvasyoke/protocol/_seal.py
@@ -1,10 +1,9 @@
-"""Handshake and seal of a link between two processes.
+"""Handshake and frame authentication of links between processes.
 
-Both ends hold the fleet's link key. The dialling end proves it in its first
-frame; a listener answers nothing to a frame that does not. Each session then has
-a key of its own, and every frame carries a sequence number, what has been
-received from the other side, and a keyed BLAKE2 digest over both and the
-content. A frame that is forged, replayed or out of order ends the session.
+Both ends hold the fleet's link key. The dialling end proves possession in its first frame;
+the listening end does not respond to an unauthenticated one. Each session derives its own key,
+and each frame carries a sequence number, an acknowledgement and a keyed BLAKE2 digest over
+both and the payload. A frame that is forged, replayed or out of order ends the session.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 from canvasyoke._version import PROTOCOL_VERSION
 
-#: Largest frame either side will take, in bytes.
+#: Maximum frame size in bytes.
 MAX_FRAME_BYTES: Final = 9 << 20
 _HELLO: Final = b"\x01"
 _WELCOME: Final = b"\x02"
@@ -32,11 +31,11 @@
 
 
 class HandshakeError(ValueError):
-    """The other side did not prove the link key or speaks another version."""
+    """The peer did not prove possession of the link key or uses another protocol version."""
 
 
 class SealError(ValueError):
-    """A frame that is forged, replayed, lost or too large."""
+    """A frame is forged, replayed, out of order or too large."""
 
 
 class Hello(msgspec.Struct, frozen=True):
@@ -45,13 +44,13 @@
     version: int
     role: str
     instance: str
-    #: Random name of this run of the process.
+    #: Random id of this run of the process.
     incarnation: str
     nonce: bytes
 
 
 class Welcome(msgspec.Struct, frozen=True):
-    """Answer to a :class:`Hello`, from the listening end."""
+    """Reply to a :class:`Hello`, from the listening end."""
 
     version: int
     instance: str
@@ -64,13 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A frame whose seal held."""
+    """An authenticated frame."""
 
-    #: Number of the frame, from 1 without gaps.
+    #: Sequence number, starting at 1 without gaps.
     sequence: int
-    #: Newest frame with content that the sender has received from us.
+    #: Highest sequence number with a payload that the sender has received.
     acknowledged: int
-    #: The content.
+    #: Encoded batch of messages; empty for acknowledgements and heartbeats.
     payload: bytes
 
 
@@ -87,7 +86,7 @@
 
 
 def make_hello(link_key: bytes, role: str, instance: str, incarnation: str) -> tuple[Hello, bytes]:
-    """Return a fresh hello and the bytes that carry it."""
+    """Return a new hello and its encoded frame."""
     hello = Hello(PROTOCOL_VERSION, role, instance, incarnation, secrets.token_bytes(_NONCE_BYTES))
     body = msgspec.msgpack.encode(hello)
     return hello, _HELLO + _digest(link_key, _HELLO, body) + body
@@ -96,9 +95,9 @@
 def accept_hello(
     link_key: bytes, data: bytes, instance: str, incarnation: str
 ) -> tuple[Hello, bytes, Sealer, Opener]:
-    """Check a hello; return it, the welcome to send, and the session's two halves.
+    """Verify a hello; return it, the welcome to send, and the session's sealer and opener.
 
-    Raises :class:`HandshakeError`; the caller then sends nothing at all.
+    Raises :class:`HandshakeError`; the listening end must then not respond.
     """
     hello = _open_handshake(link_key, data, _HELLO, Hello, b"")
     welcome = Welcome(PROTOCOL_VERSION, instance, incarnation, secrets.token_bytes(_NONCE_BYTES))
@@ -109,7 +108,7 @@
 
 
 def accept_welcome(link_key: bytes, hello: Hello, data: bytes) -> tuple[Welcome, Sealer, Opener]:
-    """Check the answer to ``hello``; return it and the session's two halves."""
+    """Verify the reply to ``hello``; return it and the session's sealer and opener."""
     welcome = _open_handshake(link_key, data, _WELCOME, Welcome, hello.nonce)
     key = _session_key(link_key, hello.nonce, welcome.nonce)
     return welcome, Sealer(key, b"D"), Opener(key, b"L")
@@ -122,18 +121,20 @@
         raise HandshakeError("the first frame is not a handshake")
     digest, body = data[1 : 1 + _DIGEST_BYTES], data[1 + _DIGEST_BYTES :]
     if not hmac.compare_digest(digest, _digest(link_key, kind, context, body)):
-        raise HandshakeError("the other side does not hold the link key")
+        raise HandshakeError("the peer does not hold the link key")
     try:
         message = msgspec.msgpack.decode(body, type=model)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
-        raise HandshakeError(f"handshake cannot be read: {exc}") from None
+        raise HandshakeError(f"malformed handshake: {exc}") from None
     if message.version != PROTOCOL_VERSION:
-        raise HandshakeError(f"protocol {message.version} there, {PROTOCOL_VERSION} here")
+        raise HandshakeError(
+            f"peer has protocol version {message.version}, expected {PROTOCOL_VERSION}"
+        )
     return message
 
 
 class Sealer:
-    """Numbers and signs outgoing frames; used by one sending task."""
+    """Numbers and authenticates outgoing frames; used by one thread."""
 
     def __init__(self, key: bytes, direction: bytes) -> None:
         self._key = key
@@ -142,20 +143,20 @@
 
     @property
     def sequence(self) -> int:
-        """Return the number of the newest frame."""
+        """Return the sequence number of the last frame."""
         return self._sequence
 
     def seal(self, payload: bytes, acknowledged: int) -> bytes:
-        """Return the frame that carries ``payload``."""
+        """Return a frame with ``payload``."""
         if len(payload) > MAX_FRAME_BYTES - _FIELDS.size - _DIGEST_BYTES:
-            raise SealError(f"a frame of {len(payload)} bytes is over the limit")
+            raise SealError(f"a payload of {len(payload)} bytes exceeds the frame size limit")
         self._sequence += 1
         fields = _FIELDS.pack(_FRAME, self._sequence, acknowledged)
         return fields + _digest(self._key, self._direction, fields, payload) + payload
 
 
 class Opener:
-    """Checks incoming frames; used by one receiving task."""
+    """Verifies incoming frames; used by one thread."""
 
     def __init__(self, key: bytes, direction: bytes) -> None:
         self._key = key
@@ -164,19 +165,19 @@
 
     @property
     def sequence(self) -> int:
-        """Return the number of the newest frame received."""
+        """Return the sequence number of the last frame received."""
         return self._sequence
 
     def open(self, data: bytes) -> Frame:
-        """Return the frame in ``data`` or raise :class:`SealError`."""
+        """Verify and return a frame; raises :class:`SealError` if it is invalid."""
         start = _FIELDS.size + _DIGEST_BYTES
         if len(data) < start or data[:1] != _FRAME:
-            raise SealError("not a frame of a session")
+            raise SealError("not a session frame")
         fields, digest, payload = data[: _FIELDS.size], data[_FIELDS.size : start], data[start:]
         if not hmac.compare_digest(digest, _digest(self._key, self._direction, fields, payload)):
-            raise SealError("the seal of a frame does not hold")
+            raise SealError("invalid frame digest")
         _, sequence, acknowledged = _FIELDS.unpack(fields)
         if sequence != self._sequence + 1:
-            raise SealError(f"frame {sequence} came after frame {self._sequence}")
+            raise SealError(f"frame {sequence} received after frame {self._sequence}")
         self._sequence = sequence
         return Frame(sequence, acknowledged, payload)
--- a/src/canvasyoke/protocol/_status.py
+++ b/src/canvasyoke/protocol/_status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators, as its admin address and the command line exchange it."""
+"""Status of an entry, as served by its admin address and shown by the command line."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
-    """The entry itself."""
+    """Status of the entry itself."""
 
     instance: str
     domain: str
     generation: int
     leaving: bool
     in_flight: int
-    #: Whether the platform answered last time.
+    #: Whether the last request to the platform succeeded.
     platform: bool
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """One target as the entry sees it."""
+    """Status of a target as known to the entry."""
 
     instance: str
     domain: str
@@ -36,13 +36,13 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """One rank group."""
+    """Status of a rank group."""
 
     group: str
     owner: str
     epoch: int
     number: int
-    #: Ranks that have this map in force, and all ranks.
+    #: Number of ranks that use this map, and of all ranks.
     ranks_on_map: int
     ranks: int
     skew: float
@@ -50,22 +50,22 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """All of it."""
+    """Status of an entry, its targets and its rank groups."""
 
     entry: EntryStatus
     targets: list[TargetStatus]
     groups: list[GroupStatus]
-    #: What is wrong and what to do, most urgent first.
+    #: Problems and suggested actions, most urgent first.
     findings: list[str]
 
 
 class QuarantinedRequest(msgspec.Struct, frozen=True):
-    """A request under which backends have ended, as a direct entry shows it."""
+    """A request during which backends have crashed, as reported by a direct entry."""
 
     fingerprint: str
-    #: Whether it is kept from backends.
+    #: Whether it is blocked from backends.
     is_blamed: bool
-    #: Runs of backends that have ended under it since it was last cleared.
+    #: Backend runs that crashed during it since it was last cleared.
     runs: list[str]
-    #: How often it was cleared.
+    #: Number of times it was cleared.
     cleared: int
--- a/src/canvasyoke/protocol/tests/test_http.py
+++ b/src/canvasyoke/protocol/tests/test_http.py
@@ -17,7 +17,7 @@
         ({"idempotency-key": f'"{KEY}"'}, 0, -1, KEY),
     ],
 )
-def test_options(headers: dict[str, str], wait: int, priority: int, key: str) -> None:
+def test_call_options(headers: dict[str, str], wait: int, priority: int, key: str) -> None:
     options = parse_call_options(headers)
     assert (options.wait, options.priority, options.key) == (wait, priority, key)
 
@@ -35,11 +35,11 @@
         {"x-request-id": "x" * 129},
     ],
 )
-def test_malformed_headers_are_refused(headers: dict[str, str]) -> None:
+def test_malformed_headers_are_rejected(headers: dict[str, str]) -> None:
     with pytest.raises(HeaderError):
         parse_call_options(headers)
 
 
-def test_key_carries_its_time() -> None:
+def test_key_contains_its_time() -> None:
     assert key_time(KEY) == 1_700_000_000_000
     assert parse_call_options({"idempotency-key": KEY}).key_time == 1_700_000_000_000
--- a/src/canvasyoke/protocol/tests/test_seal.py
+++ b/src/canvasyoke/protocol/tests/test_seal.py
@@ -18,7 +18,7 @@
 KEY = b"k" * 32
 
 
-def shake_hands(dial_key: bytes = KEY, listen_key: bytes = KEY) -> tuple[Sealer, Opener]:
+def handshake(dial_key: bytes = KEY, listen_key: bytes = KEY) -> tuple[Sealer, Opener]:
     """Return the dialling end's sealer and the listening end's opener."""
     hello, data = make_hello(dial_key, "entry", "e-1", "run-1")
     _, welcome, _, opener = accept_hello(listen_key, data, "t-1", "run-2")
@@ -26,27 +26,27 @@
     return sealer, opener
 
 
-def test_frames_pass_in_order() -> None:
-    sealer, opener = shake_hands()
+def test_frames_are_accepted_in_order() -> None:
+    sealer, opener = handshake()
     for number in range(1, 4):
         frame = opener.open(sealer.seal(b"x" * number, number))
         assert (frame.sequence, frame.acknowledged, len(frame.payload)) == (number, number, number)
 
 
-def test_stranger_without_the_key_is_refused() -> None:
+def test_peer_without_the_link_key_is_rejected() -> None:
     with pytest.raises(HandshakeError, match="link key"):
-        shake_hands(dial_key=b"z" * 32)
+        handshake(dial_key=b"z" * 32)
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"GET / HTTP/1.1\r\n\r\n", b"\x01" + bytes(40), bytes(5_000)]
 )
-def test_noise_is_refused(data: bytes) -> None:
+def test_invalid_hello_is_rejected(data: bytes) -> None:
     with pytest.raises(HandshakeError):
         accept_hello(KEY, data, "t-1", "run-2")
 
 
-def test_welcome_of_another_session_is_refused() -> None:
+def test_welcome_of_another_session_is_rejected() -> None:
     hello, data = make_hello(KEY, "entry", "e-1", "run-1")
     other, _ = make_hello(KEY, "entry", "e-1", "run-1")
     welcome = accept_hello(KEY, data, "t-1", "run-2")[1]
@@ -56,20 +56,20 @@
 
 
 @pytest.mark.parametrize("position", [0, 3, 12, 20, -1])
-def test_changed_frame_is_refused(position: int) -> None:
-    sealer, opener = shake_hands()
+def test_modified_frame_is_rejected(position: int) -> None:
+    sealer, opener = handshake()
     frame = bytearray(sealer.seal(b"payload", 0))
     frame[position] ^= 1
     with pytest.raises(SealError):
         opener.open(bytes(frame))
 
 
-def test_replayed_and_lost_frames_are_refused() -> None:
-    sealer, opener = shake_hands()
-    first, _lost, third = (sealer.seal(b"x", 0) for _ in range(3))
+def test_replayed_and_skipped_frames_are_rejected() -> None:
+    sealer, opener = handshake()
+    first, _skipped, third = (sealer.seal(b"x", 0) for _ in range(3))
     opener.open(first)
     for frame in (first, third):
-        with pytest.raises(SealError, match="came after"):
+        with pytest.raises(SealError, match="received after"):
             opener.open(frame)
 
 
@@ -83,11 +83,11 @@
         msgspec.msgpack.encode({"type": "chunk"}),
     ],
 )
-def test_unknown_messages_are_refused(data: bytes) -> None:
+def test_invalid_batches_are_rejected(data: bytes) -> None:
     with pytest.raises(CodecError):
         decode_batch(data)
 
 
-def test_batches_pass() -> None:
+def test_batch_round_trip() -> None:
     batch = [Chunk(1, 1, 0, b"a"), Chunk(1, 1, 1, b"b")]
     assert decode_batch(encode_batch(batch)) == batch
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -15,14 +15,14 @@
 from canvasyoke.protocol import (
     Cancel,
     ConfigOffer,
-    ConfigWanted,
+    ConfigRequest,
     Drained,
     Forget,
-    Go,
     GroupOrder,
     Load,
     LoadReport,
     Message,
+    Proceed,
     Resume,
     Run,
     SlotClaim,
@@ -187,13 +187,13 @@
                 self._asks.resume.defer(session, message.request, message.attempt, message.offset)
             case Cancel():
                 self._asks.cancel.defer(session, message.request, message.attempt)
-            case Go():
+            case Proceed():
                 self._asks.go.defer(session, message.request, message.attempt)
             case Forget():
                 self._asks.forget.defer(session, message.request, message.attempt)
             case ConfigOffer():
                 self._adopt.defer(Snapshot(message.root, message.contents))
-            case ConfigWanted():
+            case ConfigRequest():
                 self._offer_config(session, message.generation)
             case GroupOrder():
                 self._orders.submit(self._carry, session, message)
--- a/src/canvasyoke/transport/__init__.py
+++ b/src/canvasyoke/transport/__init__.py
@@ -1,17 +1,17 @@
-"""Links between canvasyoke's processes, the HTTP server and the HTTP client."""
+"""Links between canvasyoke's processes, HTTP servers and HTTP clients."""
 
 from canvasyoke.transport._caller_server import CallerServer, ServerLimits
 from canvasyoke.transport._exchange import (
     Exchange,
     ExchangeError,
-    ExchangeSlot,
+    ExchangeHandle,
+    NoResponse,
     NotConnected,
-    Reach,
-    Sent,
+    ProbeResult,
     Withdrawn,
     can_connect,
     exchange,
-    reach,
+    probe_address,
 )
 from canvasyoke.transport._http_client import BackendPool, CallFailed, HttpFailure, HttpReply
 from canvasyoke.transport._http_server import HttpServer
@@ -25,19 +25,19 @@
     "CallerServer",
     "Exchange",
     "ExchangeError",
-    "ExchangeSlot",
+    "ExchangeHandle",
     "HttpFailure",
     "HttpReply",
     "HttpServer",
     "LinkClient",
     "LinkServer",
+    "NoResponse",
     "NotConnected",
-    "Reach",
-    "Sent",
+    "ProbeResult",
     "ServerLimits",
     "Session",
     "Withdrawn",
     "can_connect",
     "exchange",
-    "reach",
+    "probe_address",
 ]
--- a/src/canvasyoke/transport/_caller_server.py
+++ b/src/canvasyoke/transport/_caller_server.py
@@ -1,9 +1,8 @@
-"""HTTP towards callers by waitress, with limits that can change while it runs.
+"""HTTP server for callers, based on waitress, with limits that can change at run time.
 
-Waitress parses, buffers and hands each request to a thread of its pool. What it lacks
-for a load balancer is added here: threads as they are needed, a time limit for heads
-and bodies that come slowly (408), idle connections judged by a clock that does not
-jump, and a drain that tells callers to close.
+Waitress parses and buffers requests and dispatches them to a thread pool. This module adds
+an elastic thread pool, a timeout for slow request headers and bodies (408), an idle timeout
+on a monotonic clock, and draining, which closes connections after their response.
 """
 
 from __future__ import annotations
@@ -24,19 +23,20 @@
 #: A WSGI application.
 Application = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
-#: Seconds between looks at connections that are idle or slow.
-_LOOK_EVERY: Final = 1
+#: Seconds between checks for idle and slow connections.
+_MAINTENANCE_INTERVAL_S: Final = 1
 _CONNECTION_LIMIT: Final = 3_000
-#: Threads kept from the start; more come with load.
-_FIRST_THREADS: Final = 4
-#: Bytes of an answer that may wait for a caller who reads slowly.
-_UNSENT_LIMIT: Final = 1 << 20
-_IN_MEMORY: Final = 1 << 30
+#: Threads started with the server; more are started under load.
+_INITIAL_THREADS: Final = 4
+#: Bytes of a response buffered for a slow caller before the application is blocked.
+_OUTPUT_HIGH_WATERMARK: Final = 1 << 20
+#: Buffer size in bytes beyond which waitress uses a temporary file; keeps buffers in memory.
+_BUFFER_OVERFLOW: Final = 1 << 30
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What a caller may send and how long it may take. Times in milliseconds."""
+    """Size limits and timeouts of a caller's requests; times are in milliseconds."""
 
     header_bytes: int
     body_bytes: int
@@ -45,30 +45,30 @@
 
 
 class _RequestTimeout(Error):
-    """The rest of a request did not come in time."""
+    """The request was not received completely before the timeout."""
 
     code = 408
     reason = "Request Timeout"
 
 
 class _ElasticDispatcher(ThreadedTaskDispatcher):
-    """Starts a thread when a task finds none idle, up to a limit."""
+    """Thread pool that starts a thread when none is idle, up to a limit."""
 
     def __init__(self, limit: int) -> None:
         super().__init__()
         self._limit = limit
 
     def add_task(self, task: Any) -> None:
-        """Queue ``task`` and see that a thread will take it."""
+        """Queue ``task`` and start a thread for it if none is idle."""
         super().add_task(task)
         with self.lock:
             idle = len(self.threads) - self.active_count
-            wanted = len(self.threads) + len(self.queue) - max(0, idle)
-        if wanted > len(self.threads):
-            self.set_thread_count(min(self._limit, wanted))
+            required = len(self.threads) + len(self.queue) - max(0, idle)
+        if required > len(self.threads):
+            self.set_thread_count(min(self._limit, required))
 
 
-class _Task(WSGITask):
+class _ResponseTask(WSGITask):
     channel: Any
 
     def build_response_header(self) -> bytes:
@@ -78,39 +78,40 @@
 
 
 class _Channel(HTTPChannel):
-    """A caller's connection that knows when it was last heard of."""
+    """A caller's connection that records its activity for the timeouts."""
 
-    task_class = _Task
-    # The stubs of waitress lack or mistype what a subclass needs of these.
+    task_class = _ResponseTask
+    # Missing or wrong in the type stubs of waitress.
     server: Any
     requests: Any
     requests_lock: threading.Lock
 
     def __init__(self, server: Any, *args: Any, **kw: Any) -> None:
-        #: Time on the clock of the last byte in either direction.
-        self.touched = server.clock.now()
-        #: Time on the clock at which the head being read began; 0 between requests.
-        self.head_began = 0
+        #: Clock time of the last received data or completed response. Waitress keeps its own
+        #: ``last_activity`` on the wall clock.
+        self.last_active_at = server.clock.now()
+        #: Clock time of the first byte of the request being read; 0 between requests.
+        self.header_started_at = 0
         super().__init__(server, *args, **kw)
 
     def received(self, data: bytes) -> bool:
-        """Take bytes from the caller."""
+        """Parse data received from the caller."""
         now = self.server.clock.now()
-        self.touched = now
-        if not self.head_began:
-            self.head_began = now
-        taken = bool(super().received(data))
+        self.last_active_at = now
+        if not self.header_started_at:
+            self.header_started_at = now
+        received = bool(super().received(data))
         if self.request is None:
-            self.head_began = 0
-        return taken
+            self.header_started_at = 0
+        return received
 
     def service(self) -> None:
-        """Answer one request."""
+        """Run the application for the queued requests."""
         super().service()
-        self.touched = self.server.clock.now()
+        self.last_active_at = self.server.clock.now()
 
     def time_out(self) -> None:
-        """Refuse the request whose rest does not come."""
+        """Answer an incomplete request with 408."""
         with self.requests_lock:
             request = self.request
             if request is None or self.requests:
@@ -118,7 +119,7 @@
             request.error = _RequestTimeout("the request did not come in time")
             request.completed = True
             self.request = None
-            self.head_began = 0
+            self.header_started_at = 0
             self.requests.append(request)
             self.server.add_task(self)
 
@@ -130,28 +131,28 @@
     def __init__(self, clock: Clock, limits: ServerLimits, *args: Any, **kw: Any) -> None:
         self.clock = clock
         self.limits = limits
-        #: Whether callers are told to close their connections.
+        #: Whether each response closes its connection.
         self.is_draining = False
         super().__init__(*args, **kw)
 
     def maintenance(self, _now: float) -> None:
-        """Close connections that are idle; refuse requests that come too slowly."""
+        """Close idle connections and time out slow requests."""
         now = self.clock.now()
         for channel in list(self.active_channels.values()):
             if channel.requests:
                 continue
             request = channel.request
-            if request is None or not channel.head_began:
-                if now - channel.touched > self.limits.idle_time:
+            if request is None or not channel.header_started_at:
+                if now - channel.last_active_at > self.limits.idle_time:
                     channel.will_close = True
             elif request.headers_finished:
-                if now - channel.touched > self.limits.idle_time:
+                if now - channel.last_active_at > self.limits.idle_time:
                     channel.time_out()
-            elif now - channel.head_began > self.limits.header_time:
+            elif now - channel.header_started_at > self.limits.header_time:
                 channel.time_out()
 
     def close_idle(self) -> None:
-        """Close every connection on which nothing is under way."""
+        """Close every connection that has no request in progress."""
         for channel in list(self.active_channels.values()):
             if not channel.requests and channel.request is None:
                 channel.will_close = True
@@ -159,7 +160,7 @@
 
 
 class CallerServer:
-    """Serves one application on one address."""
+    """Serves one WSGI application on one address."""
 
     def __init__(
         self,
@@ -171,44 +172,44 @@
     ) -> None:
         adj = Adjustments(
             listen=address,
-            inbuf_overflow=_IN_MEMORY,
-            outbuf_overflow=_IN_MEMORY,
-            outbuf_high_watermark=_UNSENT_LIMIT,
+            inbuf_overflow=_BUFFER_OVERFLOW,
+            outbuf_overflow=_BUFFER_OVERFLOW,
+            outbuf_high_watermark=_OUTPUT_HIGH_WATERMARK,
             send_bytes=1,
             channel_request_lookahead=1,
-            cleanup_interval=_LOOK_EVERY,
+            cleanup_interval=_MAINTENANCE_INTERVAL_S,
             connection_limit=_CONNECTION_LIMIT,
             asyncore_use_poll=True,
             ident=None,
         )
         dispatcher = _ElasticDispatcher(threads)
-        dispatcher.set_thread_count(min(threads, _FIRST_THREADS))
+        dispatcher.set_thread_count(min(threads, _INITIAL_THREADS))
         self._server = _Server(clock, limits, application, adj=adj, dispatcher=dispatcher)
         self.set_limits(limits)
-        self._task = threading.Thread(target=self._run, name=f"http-{address}", daemon=True)
+        self._thread = threading.Thread(target=self._run, name=f"http-{address}", daemon=True)
 
     def start(self) -> None:
         """Start serving."""
-        self._task.start()
+        self._thread.start()
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Put other limits in force, for requests that come from now on."""
+        """Replace the limits for subsequent requests."""
         self._server.limits = limits
-        # Waitress refuses what reaches a limit; ours may be reached.
+        # Waitress rejects sizes equal to its limit; these limits are inclusive.
         self._server.adj.max_request_header_size = limits.header_bytes + 1
         self._server.adj.max_request_body_size = limits.body_bytes + 1
 
     def set_draining(self, is_draining: bool) -> None:
-        """Tell callers with each answer to close their connection, or no longer."""
+        """Set whether each response closes its connection."""
         self._server.is_draining = is_draining
 
     def close_idle(self) -> None:
-        """Close every connection on which nothing is under way."""
+        """Close every connection that has no request in progress."""
         self._server.close_idle()
 
     @property
     def connections(self) -> int:
-        """Return the connections open now."""
+        """Return the number of open connections."""
         return len(self._server.active_channels)
 
     def _run(self) -> None:
--- a/src/canvasyoke/transport/_exchange.py
+++ b/src/canvasyoke/transport/_exchange.py
@@ -1,8 +1,7 @@
-"""One request on a connection of its own, with urllib3; the answer is read as it comes.
+"""HTTP exchanges that use one connection per request, with streamed responses.
 
-A fresh connection for each request costs a round trip inside the data centre. In return
-no answer can be taken for another's, a connection that went stale cannot swallow a
-request that must not repeat, and bytes left over from an answer die with their socket.
+A new connection costs one round trip. In return, a response cannot be matched to the wrong
+request, and a request that must not be repeated cannot be lost on a stale connection.
 """
 
 from __future__ import annotations
@@ -21,112 +20,113 @@
 
 from canvasyoke._clock import SECOND
 
-#: Keep-alive probes tell a peer without power from one that is busy: one second idle,
-#: then two probes a second apart. Shorter would add wake-ups, longer lets a stream that
-#: could go on elsewhere wait past the two seconds after which callers give up.
-_PROBE_AFTER_S: Final = 1
-_PROBE_EVERY_S: Final = 1
-_PROBES: Final = 2
-#: Milliseconds that sent bytes may stay without acknowledgement.
-_UNACKNOWLEDGED: Final = 2 * SECOND
+#: TCP keep-alive detects a dead peer behind a silent connection: two probes, one second
+#: apart, after one second without traffic.
+_KEEPALIVE_IDLE_S: Final = 1
+_KEEPALIVE_INTERVAL_S: Final = 1
+_KEEPALIVE_PROBES: Final = 2
+#: Milliseconds that sent data may remain unacknowledged.
+_TCP_USER_TIMEOUT: Final = 2 * SECOND
 _SOCKET_OPTIONS: Final[list[tuple[int, int, int | bytes]]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_EVERY_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT),
 ]
 _READ_BYTES: Final = 64 << 10
-#: Least time given to a socket operation, in milliseconds; zero would mean not to block.
-_LEAST_TIMEOUT: Final = 1
+#: Minimum socket timeout in milliseconds; zero would make the socket non-blocking.
+_MIN_TIMEOUT: Final = 1
 
 
 class ExchangeError(OSError):
-    """An answer broke off, is malformed or did not come in time."""
+    """A response was incomplete, malformed or timed out."""
 
-    def __init__(self, detail: str, *, is_late: bool = False) -> None:
+    def __init__(self, detail: str, *, is_timeout: bool = False) -> None:
         super().__init__(detail)
-        #: Whether it did not come in time, so that nothing is known of the peer.
-        self.is_late = is_late
+        #: Whether a timeout expired, which says nothing about the peer's state.
+        self.is_timeout = is_timeout
 
 
 @dataclass(frozen=True, slots=True)
 class NotConnected:
-    """No connection was made, so the peer has not seen the request."""
+    """No connection was established, so the peer has not seen the request."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The connection was made, and the request was not sent after all."""
+    """The exchange was cancelled after connecting, before the request was sent."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """The request may have been read by the peer, and there is no answer."""
+class NoResponse:
+    """The peer may have received the request, but no valid response arrived."""
 
     detail: str
-    #: Whether the answer did not come in time, so that nothing is known of the peer.
-    is_late: bool = False
+    #: Whether a timeout expired, which says nothing about the peer's state.
+    is_timeout: bool = False
 
 
 class Exchange:
-    """A request that was sent, and its answer."""
+    """A request that was sent, and its response."""
 
     def __init__(self, connection: HTTPConnection, response: urllib3.HTTPResponse) -> None:
         self._connection = connection
         self._response = response
         #: HTTP status.
         self.status = response.status
-        #: Header names and values in the order they came.
+        #: Header names and values, in the order received.
         self.headers: list[tuple[str, str]] = list(response.headers.items())
-        #: Whether the body's end is told by a length or a last chunk, not by the
-        #: connection's end alone.
+        #: Whether the body is delimited by a length or chunked encoding, not only by the
+        #: end of the connection.
         self.is_framed = bool(response.chunked) or response.length_remaining is not None
 
     def header(self, name: str) -> str | None:
-        """Return the value of a header, or ``None``."""
+        """Return the value of a header, or ``None`` if it is absent."""
         return self._response.headers.get(name)
 
-    def pieces(self) -> Iterator[bytes]:
-        """Yield the body as it comes; raises :class:`ExchangeError` if it is not whole."""
+    def chunks(self) -> Iterator[bytes]:
+        """Yield the body as it is received; raises :class:`ExchangeError` if it is incomplete."""
         try:
             if self._response.chunked:
                 yield from self._response.read_chunked(decode_content=False)
                 return
-            while piece := self._response.read1(_READ_BYTES, decode_content=False):
-                yield piece
+            while chunk := self._response.read1(_READ_BYTES, decode_content=False):
+                yield chunk
             if self._response.length_remaining:
                 raise ExchangeError(f"{self._response.length_remaining} bytes are missing")
         except ExchangeError:
             raise
         except (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError) as exc:
-            raise ExchangeError(f"{type(exc).__name__}: {exc}", is_late=_is_late(exc)) from exc
+            raise ExchangeError(
+                f"{type(exc).__name__}: {exc}", is_timeout=_is_timeout(exc)
+            ) from exc
         except (AttributeError, ValueError) as exc:
-            # A socket that another task shut down while it was being read.
+            # urllib3 and http.client raise these when another thread shuts the socket down.
             raise ExchangeError(f"the connection was closed: {exc}") from exc
 
-    def wait_at_most(self, duration: int) -> None:
-        """Let each further read take up to ``duration`` milliseconds."""
+    def set_read_timeout(self, duration: int) -> None:
+        """Set the timeout of each further read, in milliseconds."""
         sock = self._connection.sock
         if sock is not None:
-            sock.settimeout(max(_LEAST_TIMEOUT, duration) / SECOND)
+            sock.settimeout(max(_MIN_TIMEOUT, duration) / SECOND)
 
     def close(self) -> None:
-        """Give the connection up; the peer sees it closed."""
+        """Close the connection."""
         with contextlib.suppress(OSError):
             self._response.close()
         self._connection.close()
 
 
-class ExchangeSlot:
-    """Lets others stop an exchange: before its request is sent, and at any moment after.
+class ExchangeHandle:
+    """Cancels an exchange from another thread.
 
-    ``may_send`` is asked when the connection stands, right before the request is written.
+    ``may_send`` is called once the connection is established, right before the request is sent.
     """
 
     def __init__(self, may_send: Callable[[], bool] = lambda: True) -> None:
@@ -134,52 +134,52 @@
         self._may_send = may_send
         self._connection: HTTPConnection | None = None
         self._sock: socket.socket | None = None
-        #: Whether it was shut down.
-        self.is_shut = False
+        #: Whether the exchange was cancelled.
+        self.is_cancelled = False
 
-    def hold(self, sock: socket.socket | None) -> str:
-        """Take the socket in use now; return why nothing may be sent on it, or nothing."""
+    def attach(self, sock: socket.socket | None) -> str:
+        """Set the exchange's socket; return why the request must not be sent, or ``""``."""
         with self._lock:
             self._sock = sock
-            if self.is_shut:
+            if self.is_cancelled:
                 return "given up before anything was sent"
         return "" if self._may_send() else "the backend takes no requests any more"
 
-    def shut(self) -> None:
-        """Shut the socket down, now or as soon as there is one."""
+    def cancel(self) -> None:
+        """Shut the socket down, or prevent the request from being sent if there is none yet."""
         with self._lock:
-            self.is_shut = True
+            self.is_cancelled = True
             if self._sock is None:
                 return
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
 
-class Reach(enum.Enum):
-    """What a try to connect to an address has shown."""
+class ProbeResult(enum.Enum):
+    """Result of a connection attempt."""
 
     LISTENING = enum.auto()
-    #: Its machine answers, and nothing listens at the port.
+    #: The host responds, but nothing listens on the port.
     REFUSED = enum.auto()
-    #: Nothing came back: the machine is off, cut off or slow, or a packet was lost.
+    #: No response: the host is down, unreachable or slow, or a packet was lost.
     SILENT = enum.auto()
 
 
-def reach(address: str, timeout: int) -> Reach:
+def probe_address(address: str, timeout: int) -> ProbeResult:
     """Try to connect to ``address`` within ``timeout`` milliseconds."""
     host, port = address.rsplit(":", 1)
     try:
         socket.create_connection((host, int(port)), timeout / SECOND).close()
     except ConnectionRefusedError:
-        return Reach.REFUSED
+        return ProbeResult.REFUSED
     except OSError:
-        return Reach.SILENT
-    return Reach.LISTENING
+        return ProbeResult.SILENT
+    return ProbeResult.LISTENING
 
 
 def can_connect(address: str, timeout: int) -> bool:
-    """Tell whether a connection to ``address`` is made within ``timeout`` milliseconds."""
-    return reach(address, timeout) is Reach.LISTENING
+    """Return whether ``address`` accepts a connection within ``timeout`` milliseconds."""
+    return probe_address(address, timeout) is ProbeResult.LISTENING
 
 
 def exchange(
@@ -191,10 +191,10 @@
     *,
     connect_timeout: int,
     read_timeout: int,
-    slot: ExchangeSlot | None = None,
-) -> Exchange | NotConnected | Withdrawn | Sent:
-    """Send one request and wait for the head of its answer; times in milliseconds."""
-    slot = slot or ExchangeSlot()
+    handle: ExchangeHandle | None = None,
+) -> Exchange | NotConnected | Withdrawn | NoResponse:
+    """Send a request and wait for the response headers; times are in milliseconds."""
+    handle = handle or ExchangeHandle()
     host, port = address.rsplit(":", 1)
     connection = HTTPConnection(
         host, int(port), timeout=connect_timeout / SECOND, socket_options=_SOCKET_OPTIONS
@@ -204,38 +204,38 @@
     except (urllib3.exceptions.HTTPError, OSError) as exc:
         connection.close()
         return NotConnected(f"{type(exc).__name__}: {exc}")
-    why_not = slot.hold(connection.sock)
-    if why_not:
+    abort_reason = handle.attach(connection.sock)
+    if abort_reason:
         connection.close()
-        return Withdrawn(why_not)
-    connection.timeout = max(_LEAST_TIMEOUT, read_timeout) / SECOND
+        return Withdrawn(abort_reason)
+    connection.timeout = max(_MIN_TIMEOUT, read_timeout) / SECOND
     connection.sock.settimeout(connection.timeout)
     try:
-        # A backend may refuse a long body before it has read it: the answer is there
-        # although the rest of the body could not be sent.
+        # A backend may respond and close before it has read the whole body: the response
+        # is then available although sending failed.
         with contextlib.suppress(BrokenPipeError, ConnectionResetError):
             connection.request(
                 method,
                 target,
                 body=body or None,
-                headers=_with_defaults(headers),
+                headers=_suppress_default_headers(headers),
                 preload_content=False,
                 decode_content=False,
             )
         return Exchange(connection, connection.getresponse())
     except (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError) as exc:
         connection.close()
-        return Sent(f"{type(exc).__name__}: {exc}", _is_late(exc))
+        return NoResponse(f"{type(exc).__name__}: {exc}", _is_timeout(exc))
 
 
-def _is_late(exc: Exception) -> bool:
-    """Tell whether an exchange failed for want of time, the system's limits among them."""
+def _is_timeout(exc: Exception) -> bool:
+    """Return whether an exchange failed by a timeout, including those of the TCP stack."""
     causes = (exc, exc.__cause__, *exc.args)
     return any(isinstance(each, TimeoutError | urllib3.exceptions.TimeoutError) for each in causes)
 
 
-def _with_defaults(headers: Sequence[tuple[str, str]]) -> dict[str, str]:
-    """Return the headers, with those that the library would add switched off."""
+def _suppress_default_headers(headers: Sequence[tuple[str, str]]) -> dict[str, str]:
+    """Return the headers, with urllib3's default headers suppressed."""
     sent: dict[str, str] = {
         "User-Agent": urllib3.util.SKIP_HEADER,
         "Accept-Encoding": urllib3.util.SKIP_HEADER,
--- a/src/canvasyoke/transport/_http_client.py
+++ b/src/canvasyoke/transport/_http_client.py
@@ -1,4 +1,4 @@
-"""Calls to backends over HTTP with urllib3; the answer is read as it comes."""
+"""HTTP client for backends, based on urllib3, with streamed responses."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 from canvasyoke._clock import SECOND
 
-#: Bytes read at once from an answer of known length.
+#: Read size in bytes for responses that are not chunked.
 _READ_BYTES: Final = 64 << 10
 
 
 class HttpFailure(enum.Enum):
-    """How far a call had come when it failed."""
+    """Whether a failed call may have reached the backend."""
 
-    #: No connection was made: the backend did not see the call.
+    #: No connection was established, so the backend has not seen the request.
     NOT_SENT = enum.auto()
-    #: The call was on its way or running.
+    #: The request may have been sent.
     MAYBE_SENT = enum.auto()
 
 
 class HttpReply:
-    """The head of an answer and an iterator over its body."""
+    """A response: status, headers and a streamed body."""
 
     def __init__(self, response: urllib3.BaseHTTPResponse) -> None:
         self._response = response
         #: HTTP status.
         self.status = response.status
-        #: Header names and values in the order they came.
+        #: Header names and values, in the order received.
         self.headers = list(response.headers.items())
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body as it comes; raises ``OSError`` when it breaks off."""
+        """Yield the body as it is received; raises ``OSError`` if it is incomplete."""
         try:
             if getattr(self._response, "chunked", False):
                 yield from self._response.read_chunked()
@@ -45,7 +45,7 @@
             raise OSError(f"the answer broke off: {exc}") from exc
 
     def lines(self) -> Iterator[bytes]:
-        """Yield the body line by line, without line ends."""
+        """Yield the lines of the body, without line ends."""
         rest = b""
         for chunk in self.chunks():
             *whole, rest = (rest + chunk).split(b"\n")
@@ -54,26 +54,26 @@
             raise OSError("the answer broke off within a line")
 
     def close(self) -> None:
-        """Give the connection up; the backend sees it closed."""
+        """Close the connection."""
         self._response.close()
 
     def release(self) -> None:
-        """Give a connection whose answer was read to its end back to the pool."""
+        """Return the connection to the pool, after the response was read completely."""
         self._response.release_conn()
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A call without an answer."""
+    """A call that received no response."""
 
-    #: How far it had come.
+    #: Whether the request may have been sent.
     failure: HttpFailure
     #: The cause, for logs.
     detail: str
 
 
 class BackendPool:
-    """A pool of connections to one address; makes no retries of its own."""
+    """A connection pool for one address, without retries."""
 
     def __init__(self, address: str, connections: int) -> None:
         host, port = address.rsplit(":", 1)
@@ -91,7 +91,7 @@
         connect_timeout: int = 1 * SECOND,
         read_timeout: int = 30 * SECOND,
     ) -> HttpReply | CallFailed:
-        """Send one request; times are in milliseconds."""
+        """Send a request and wait for the response headers; times are in milliseconds."""
         timeout = urllib3.Timeout(connect=connect_timeout / SECOND, read=read_timeout / SECOND)
         try:
             response = self._pool.urlopen(
--- a/src/canvasyoke/transport/_http_server.py
+++ b/src/canvasyoke/transport/_http_server.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers by waitress: one thread for each request being answered."""
+"""HTTP server based on waitress, with one thread per request in progress."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 #: A WSGI application.
 Application = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
-# Waitress logs through the standard library; its warnings of a full task queue
-# and of callers that went away are counted elsewhere.
+# Suppresses waitress's warnings about a full task queue and disconnected callers;
+# both are counted elsewhere.
 logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 
 class HttpServer:
-    """Serves one application on one or more addresses.
+    """Serves one WSGI application on one or more addresses.
 
-    Waitress reads a request whole before it calls the application, within
-    ``max_body``, and writes an answer as it is produced.
+    Requests are read completely, up to ``max_body`` bytes, before the application is
+    called; responses are streamed.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
             ident="canvasyoke",
             clear_untrusted_proxy_headers=True,
         )
-        self._task = threading.Thread(target=self._run, name="http-server", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="http-server", daemon=True)
 
     def start(self) -> None:
         """Start serving."""
-        self._task.start()
+        self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting and close."""
+        """Close the listening sockets."""
         self._server.close()
 
     def _run(self) -> None:
--- a/src/canvasyoke/transport/_link_client.py
+++ b/src/canvasyoke/transport/_link_client.py
@@ -1,4 +1,4 @@
-"""The dialling end of a link: one task for each peer, written straight down."""
+"""The dialling end of a link, with one thread per peer."""
 
 from __future__ import annotations
 
@@ -23,23 +23,21 @@
 from canvasyoke.transport._receiver import Receiver
 from canvasyoke.transport._session import Session
 
-#: Milliseconds for a connection to come about. The farthest peer answers within 0.2 s.
-#: The operating system's own limit is minutes, and it asks again after 1, 2 and 4 s: a
-#: link that was dialled while a domain was cut off came back 1.9 s after the cut had ended.
+#: Connect timeout in milliseconds. The operating system retries after 1, 2 and 4 s, which
+#: would delay reconnecting after a network partition.
 _DIAL_TIMEOUT: Final = 500
-#: Milliseconds for each step of the handshake.
-_CONNECT_TIMEOUT: Final = 2 * SECOND
-#: Milliseconds between tries to connect, doubled from the first to the second. A process
-#: has fourteen links at the most; what the links carry is missed from the end of a cut on.
+#: Timeout of each step of the handshake, in milliseconds.
+_HANDSHAKE_TIMEOUT: Final = 2 * SECOND
+#: First and longest delay between connection attempts, in milliseconds.
 _BACKOFF_START: Final = 50
 _BACKOFF_LIMIT: Final = 500
 
 
 class LinkClient:
-    """Keeps one sealed session with one address for as long as it is wanted.
+    """Maintains an authenticated session with one address until it is stopped.
 
-    ``on_open`` runs when a session begins, ``on_close`` when it ends, and
-    ``on_message`` for each message between; all on the peer's own task.
+    ``on_open`` is called when a session begins, ``on_close`` when it ends, and
+    ``on_message`` for each message received, all on the peer's thread.
     """
 
     def __init__(
@@ -68,20 +66,20 @@
         self._on_close = on_close
         self._stop = threading.Event()
         self._session: Session | None = None
-        #: Why the last session ended or could not begin.
-        self.last_fault = ""
-        self._task = threading.Thread(target=self._run, name=f"peer-{address}", daemon=True)
+        #: Why the last session ended or could not be established.
+        self.last_error = ""
+        self._thread = threading.Thread(target=self._run, name=f"peer-{address}", daemon=True)
 
     def start(self) -> None:
-        """Start the peer's task."""
-        self._task.start()
+        """Start the peer's thread."""
+        self._thread.start()
 
     def use_key(self, link_key: bytes) -> None:
-        """Dial with another key from the next session on."""
+        """Use another link key from the next session on."""
         self._link_key = link_key
 
     def stop(self) -> None:
-        """End the session and the task."""
+        """End the session and the thread."""
         self._stop.set()
         session = self._session
         if session is not None:
@@ -90,14 +88,14 @@
     def _run(self) -> None:
         backoff = _BACKOFF_START
         while not self._stop.is_set():
-            if self._serve_once():
+            if self._run_session():
                 backoff = _BACKOFF_START
             jitter = self._rng.uniform(0.5, 1.5)
             self._stop.wait(backoff * jitter / SECOND)
             backoff = min(backoff * 2, _BACKOFF_LIMIT)
 
-    def _serve_once(self) -> bool:
-        """Connect and serve one session to its end; true when it had begun."""
+    def _run_session(self) -> bool:
+        """Connect and run one session until it ends; return whether it was established."""
         with (
             pynng.Pair1(polyamorous=True, recv_max_size=MAX_FRAME_BYTES) as socket,
             closing(Receiver(socket, socket.recv)) as receiver,
@@ -105,7 +103,7 @@
             try:
                 session = self._connect(socket, receiver.wake)
             except (pynng.NNGException, HandshakeError) as exc:
-                self.last_fault = f"{type(exc).__name__}: {exc}"
+                self.last_error = f"{type(exc).__name__}: {exc}"
                 return False
             self._session = session
             session.start()
@@ -113,25 +111,25 @@
                 session.close()
             try:
                 self._on_open(session)
-                self._receive_all(receiver, session)
+                self._receive_messages(receiver, session)
             finally:
                 session.close()
                 self._session = None
-                self.last_fault = session.fault or self.last_fault
+                self.last_error = session.error or self.last_error
                 self._on_close(session)
-                # It may be sending: the socket is closed after that.
+                # The socket must not be closed while the session's thread sends on it.
                 session.join()
         return True
 
     def _connect(self, socket: Any, on_end: Callable[[], None]) -> Session:
-        socket.recv_timeout = _CONNECT_TIMEOUT
-        socket.send_timeout = _CONNECT_TIMEOUT
+        socket.recv_timeout = _HANDSHAKE_TIMEOUT
+        socket.send_timeout = _HANDSHAKE_TIMEOUT
         self._dial(socket)
         hello, data = make_hello(self._link_key, self._role, self._instance, self._incarnation)
         socket.send(data)
         welcome, sealer, opener = accept_welcome(self._link_key, hello, socket.recv())
 
-        def put(frame: bytes) -> None:
+        def write(frame: bytes) -> None:
             try:
                 socket.send(frame)
             except pynng.NNGException as exc:
@@ -142,7 +140,7 @@
             welcome.incarnation,
             sealer,
             opener,
-            put,
+            write,
             self._clock,
             role="target",
             on_end=on_end,
@@ -151,20 +149,20 @@
         return session
 
     def _dial(self, socket: Any) -> None:
-        """Wait for a connection; raises ``pynng.Timeout`` when none comes in time."""
+        """Connect; raises ``pynng.Timeout`` if that takes too long."""
         connected = threading.Event()
         socket.add_post_pipe_connect_cb(lambda _pipe: connected.set())
         socket.dial(f"tcp://{self.address}", block=False)
         if not connected.wait(_DIAL_TIMEOUT / SECOND):
             raise pynng.Timeout(f"no connection within {_DIAL_TIMEOUT} ms", 0)
 
-    def _receive_all(self, receiver: Receiver[bytes], session: Session) -> None:
+    def _receive_messages(self, receiver: Receiver[bytes], session: Session) -> None:
         while not session.closed:
             receiver.wait()
             try:
-                for frame in receiver.arrivals():
+                for frame in receiver.receive_available():
                     for message in session.receive(frame):
                         self._on_message(session, message)
             except (pynng.NNGException, SealError, CodecError) as exc:
-                self.last_fault = f"{type(exc).__name__}: {exc}"
+                self.last_error = f"{type(exc).__name__}: {exc}"
                 return
--- a/src/canvasyoke/transport/_link_server.py
+++ b/src/canvasyoke/transport/_link_server.py
@@ -21,21 +21,21 @@
 from canvasyoke.transport._receiver import Receiver
 from canvasyoke.transport._session import Session
 
-#: Milliseconds between looks at whether a peer has fallen silent, where nothing comes.
-_LOOK_EVERY: Final = 1 * SECOND
-#: Frames of all peers together that wait to be received.
+#: Milliseconds between checks for timed-out sessions when nothing is received.
+_TIMEOUT_CHECK_INTERVAL: Final = 1 * SECOND
+#: Receive buffer in frames, shared by all peers.
 _RECEIVE_BUFFER: Final = 256
 
-#: Called with each message that arrives.
+#: Called with each message received.
 OnMessage = Callable[[Session, Message], None]
 #: Called when a session begins or ends.
 OnSession = Callable[[Session], None]
 
 
 class LinkServer:
-    """Listens on one address and serves sealed sessions.
+    """Listens on one address and serves authenticated sessions.
 
-    The three callbacks run on the one receiving task and must not block.
+    The three callbacks run on the receiving thread and must not block.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         on_message: OnMessage,
         on_open: OnSession,
         on_close: OnSession,
-        along: Callable[[], Message | None] = lambda: None,
+        piggyback: Callable[[], Message | None] = lambda: None,
     ) -> None:
         self._link_key = link_key
         self._instance = instance
@@ -57,40 +57,40 @@
         self._on_message = on_message
         self._on_open = on_open
         self._on_close = on_close
-        self._along = along
+        self._piggyback = piggyback
         self._sessions: dict[int, Session] = {}
         self._removed: set[int] = set()
         self._removed_lock = threading.Lock()
-        self._stopping = False
-        #: Handshakes refused since the start.
-        self.strangers = 0
+        self._is_stopping = False
+        #: Number of handshakes rejected since the start.
+        self.rejected_handshakes = 0
         self._socket = pynng.Pair1(polyamorous=True, recv_max_size=MAX_FRAME_BYTES)
         self._socket.recv_buffer_size = _RECEIVE_BUFFER
         self._receiver = Receiver(self._socket, self._socket.recv_msg)
         self._socket.add_post_pipe_remove_cb(self._pipe_removed)
         self._socket.listen(f"tcp://{address}")
-        self._task = threading.Thread(target=self._run, name="link-server", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="link-server", daemon=True)
 
     def start(self) -> None:
-        """Start the receiving task."""
-        self._task.start()
+        """Start the receiving thread."""
+        self._thread.start()
 
     def use_key(self, link_key: bytes) -> None:
-        """Take new links by another key; those that stand go on."""
+        """Use another link key for new sessions; existing ones continue."""
         self._link_key = link_key
 
     def stop(self) -> None:
-        """End all sessions and close the socket; returns when that is done.
+        """End all sessions, close the socket and wait for both.
 
-        The receiving task closes the socket, when nobody sends on it any more: a call that
-        begins while another task closes the socket may never end, or end the process.
+        The receiving thread closes the socket once no thread sends on it: a call on a
+        socket that another thread closes may block forever or abort the process.
         """
-        self._stopping = True
-        if self._task.ident is None:
+        self._is_stopping = True
+        if self._thread.ident is None:
             self._close()
-        elif self._task is not threading.current_thread():
+        elif self._thread is not threading.current_thread():
             self._receiver.wake()
-            self._task.join()
+            self._thread.join()
 
     def _pipe_removed(self, pipe: Any) -> None:
         with self._removed_lock:
@@ -99,15 +99,15 @@
 
     def _run(self) -> None:
         try:
-            while not self._stopping:
-                self._receiver.wait(_LOOK_EVERY)
-                self._reap()
-                for message in self._receiver.arrivals():
+            while not self._is_stopping:
+                self._receiver.wait(_TIMEOUT_CHECK_INTERVAL)
+                self._end_dead_sessions()
+                for message in self._receiver.receive_available():
                     self._receive(message.pipe, message.bytes)
         finally:
             sessions = list(self._sessions.values())
             for key in list(self._sessions):
-                self._end(key)
+                self._end_session(key)
             for session in sessions:
                 session.join()
             self._close()
@@ -116,15 +116,15 @@
         self._receiver.close()
         self._socket.close()
 
-    def _reap(self) -> None:
-        """End the sessions whose pipe is gone or silent."""
+    def _end_dead_sessions(self) -> None:
+        """End the sessions whose pipe was removed or that have timed out."""
         with self._removed_lock:
             removed, self._removed = self._removed, set()
-        silent = [key for key, session in self._sessions.items() if session.silent]
-        for key in [*removed, *silent]:
-            self._end(key)
+        timed_out = [key for key, session in self._sessions.items() if session.is_timed_out]
+        for key in [*removed, *timed_out]:
+            self._end_session(key)
 
-    def _end(self, key: int) -> None:
+    def _end_session(self, key: int) -> None:
         session = self._sessions.pop(key, None)
         if session is not None:
             session.close()
@@ -135,28 +135,28 @@
             return
         session = self._sessions.get(pipe.id)
         if session is None:
-            self._shake_hands(pipe, data)
+            self._accept_handshake(pipe, data)
             return
         try:
             messages = session.receive(data)
         except (SealError, CodecError):
-            self._end(pipe.id)
-            _close(pipe)
+            self._end_session(pipe.id)
+            _close_pipe(pipe)
             return
         for message in messages:
             self._on_message(session, message)
 
-    def _shake_hands(self, pipe: Any, data: bytes) -> None:
+    def _accept_handshake(self, pipe: Any, data: bytes) -> None:
         try:
             hello, welcome, sealer, opener = accept_hello(
                 self._link_key, data, self._instance, self._incarnation
             )
         except HandshakeError:
-            self.strangers += 1
-            _close(pipe)
+            self.rejected_handshakes += 1
+            _close_pipe(pipe)
             return
 
-        def put(frame: bytes) -> None:
+        def write(frame: bytes) -> None:
             try:
                 self._socket.send_msg(pynng.Message(frame, pipe))
             except pynng.NNGException as exc:
@@ -167,13 +167,13 @@
             hello.incarnation,
             sealer,
             opener,
-            put,
+            write,
             self._clock,
             role=hello.role,
-            along=self._along if hello.role == "entry" else lambda: None,
+            piggyback=self._piggyback if hello.role == "entry" else lambda: None,
         )
         try:
-            put(welcome)
+            write(welcome)
         except OSError:
             return
         self._sessions[pipe.id] = session
@@ -181,7 +181,7 @@
         self._on_open(session)
 
 
-def _close(pipe: Any) -> None:
-    """Close a pipe that may be closed already."""
+def _close_pipe(pipe: Any) -> None:
+    """Close a pipe, ignoring that it may be closed already."""
     with contextlib.suppress(pynng.NNGException):
         pipe.close()
--- a/src/canvasyoke/transport/_receiver.py
+++ b/src/canvasyoke/transport/_receiver.py
@@ -1,10 +1,8 @@
-"""Waits for what comes on a pynng socket, or for word that nobody wants it any more.
+"""Interruptible wait for messages on a pynng socket.
 
-The task that waits on a socket is the one that closes it. The library has no way to wake
-it: a close by another task may end the process or leave the wait for ever, and looks every
-100 ms took 65.7 seconds of a processor for a played day of 24 processes where this takes 49.6
-and a wait with a limit of a second took 50.6. So the wait is the system's, on the library's
-descriptor and on one of our own.
+The thread that waits on a socket also closes it: closing it from another thread may abort the
+process or leave the wait blocked forever. pynng cannot wake a waiting thread, so the wait polls
+the socket's descriptor together with an eventfd.
 """
 
 from __future__ import annotations
@@ -21,47 +19,47 @@
 
 
 class Receiver(Generic[T]):
-    """The receiving end of one socket; all calls but ``wake`` are its owner's.
+    """The receiving end of one socket; only ``wake`` may be called from other threads.
 
-    ``take`` is the socket's own call for what comes: frames, or messages with their pipe.
+    ``receive`` is the socket's ``recv`` or ``recv_msg``.
     """
 
-    def __init__(self, socket: Any, take: Callable[[bool], T]) -> None:
-        self._take = take
+    def __init__(self, socket: Any, receive: Callable[[bool], T]) -> None:
+        self._receive = receive
         self._lock = threading.Lock()
-        self._wakeup = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._wake_event = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._is_closed = False
         self._poll = select.poll()
         self._poll.register(socket.recv_fd, select.POLLIN)
-        self._poll.register(self._wakeup, select.POLLIN)
+        self._poll.register(self._wake_event, select.POLLIN)
 
     def wake(self) -> None:
-        """Have the owner look again, from any task."""
+        """Interrupt the owner's wait, from any thread."""
         with self._lock:
-            # The number of a closed descriptor may be another's by now.
+            # The number of a closed descriptor may have been reused.
             if not self._is_closed:
-                os.eventfd_write(self._wakeup, 1)
+                os.eventfd_write(self._wake_event, 1)
 
     def wait(self, duration: int | None = None) -> None:
-        """Wait until something may have come or the owner is woken.
+        """Wait until a message may be available or ``wake`` is called.
 
-        ``duration`` is the most, in milliseconds; ``None`` for no limit.
+        ``duration`` is the timeout in milliseconds; ``None`` waits indefinitely.
         """
         for descriptor, _ in self._poll.poll(duration):
-            if descriptor == self._wakeup:
-                os.eventfd_read(self._wakeup)
+            if descriptor == self._wake_event:
+                os.eventfd_read(self._wake_event)
 
-    def arrivals(self) -> Iterator[T]:
-        """Yield what has come; raises ``pynng.NNGException`` when the socket is of no use."""
+    def receive_available(self) -> Iterator[T]:
+        """Yield the available messages; raises ``pynng.NNGException`` if the socket failed."""
         while True:
             try:
-                arrival = self._take(False)
+                item = self._receive(False)
             except pynng.TryAgain:
                 return
-            yield arrival
+            yield item
 
     def close(self) -> None:
-        """Wake nobody any more; the owner closes the socket."""
+        """Close the wake-up descriptor; the owner closes the socket."""
         with self._lock:
             self._is_closed = True
-            os.close(self._wakeup)
+            os.close(self._wake_event)
--- a/src/canvasyoke/transport/tests/test_links.py
+++ b/src/canvasyoke/transport/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links over real sockets: order, bulk, strangers, restarts, and noise at any moment."""
+"""Links over real sockets: ordering, backpressure, authentication, restarts, invalid data."""
 
 import random
 import socket
@@ -19,7 +19,7 @@
 
 
 class Server:
-    """A listening end that keeps what it gets and can answer."""
+    """A listening end that records messages and sessions."""
 
     def __init__(self, address: str, incarnation: str = "run-1") -> None:
         self.messages: list[Message] = []
@@ -39,7 +39,7 @@
 
 
 class Client:
-    """A dialling end that keeps what it gets."""
+    """A dialling end that records messages and sessions."""
 
     def __init__(self, address: str, key: bytes = KEY) -> None:
         self.messages: list[Message] = []
@@ -82,42 +82,42 @@
 @pytest.fixture
 def client(address: str, server: Server) -> Iterator[Client]:
     client = Client(address)
-    # The server's side of it begins a moment after the client's.
+    # The server registers the session after the client has opened it.
     wait_until(lambda: client.session is not None and bool(server.sessions), "a session")
     yield client
     client.link.stop()
 
 
-def test_bulk_in_both_directions_keeps_its_order(server: Server, client: Client) -> None:
-    """Far more than nng would hold for one pipe; nothing is dropped."""
+def test_messages_in_both_directions_keep_their_order(server: Server, client: Client) -> None:
+    """More messages than nng buffers per pipe; none is dropped."""
     assert client.session is not None
     session = client.session
     count = 20_000
 
-    def send_up() -> None:
+    def send_to_server() -> None:
         for number in range(count):
             session.send(Forget(number, 0))
 
-    up = threading.Thread(target=send_up)
-    up.start()
+    sender = threading.Thread(target=send_to_server)
+    sender.start()
     for number in range(count):
         server.sessions[0].send(Chunk(1, 1, number, b"x" * 50))
-    up.join()
-    wait_until(lambda: len(client.messages) == len(server.messages) == count, "all of it")
+    sender.join()
+    wait_until(lambda: len(client.messages) == len(server.messages) == count, "all messages")
     assert [m.offset for m in client.messages if isinstance(m, Chunk)] == list(range(count))
     assert [m.request for m in server.messages if isinstance(m, Forget)] == list(range(count))
     assert client.opened == ["run-1"], "in one session"
 
 
-def test_receiver_that_stands_still_loses_nothing(address: str, server: Server) -> None:
-    """More than all buffers on the way hold; nng would drop what is over."""
-    go_on = threading.Event()
-    got: list[int] = []
+def test_blocked_receiver_loses_no_messages(address: str, server: Server) -> None:
+    """More data than all buffers hold, so that nng would drop the excess."""
+    resume = threading.Event()
+    received: list[int] = []
 
     def receive(session: Session, message: Message) -> None:
-        go_on.wait()
+        resume.wait()
         assert isinstance(message, Chunk)
-        got.append(message.offset)
+        received.append(message.offset)
 
     opened: list[Session] = []
     slow = LinkClient(
@@ -136,86 +136,90 @@
     wait_until(lambda: len(opened) == 1 and bool(server.sessions), "a session")
     for number in range(1_000):
         server.sessions[0].send(Chunk(1, 1, number, bytes(20_000)))
-    time.sleep(0.5)  # what is not held back has gone by now
-    go_on.set()
-    wait_until(lambda: len(got) == 1_000 or len(opened) > 1, "all of it")
-    assert got == list(range(1_000))
+    time.sleep(0.5)  # enough to drop messages without backpressure
+    resume.set()
+    wait_until(lambda: len(received) == 1_000 or len(opened) > 1, "all messages")
+    assert received == list(range(1_000))
     slow.stop()
 
 
-def test_client_finds_a_restarted_server(address: str, server: Server, client: Client) -> None:
+def test_client_reconnects_to_a_restarted_server(
+    address: str, server: Server, client: Client
+) -> None:
     server.link.stop()
-    wait_until(lambda: client.session is None, "the end is noticed")
-    again = Server(address, "run-2")
+    wait_until(lambda: client.session is None, "the session ends")
+    restarted = Server(address, "run-2")
     wait_until(lambda: client.opened == ["run-1", "run-2"], "the next session")
-    again.link.stop()
+    restarted.link.stop()
 
 
-def test_stranger_is_told_nothing(address: str, server: Server) -> None:
-    stranger = Client(address, key=b"z" * 32)
-    wait_until(lambda: server.link.strangers > 0, "it was noticed")
+def test_client_with_a_wrong_key_gets_no_session(address: str, server: Server) -> None:
+    client = Client(address, key=b"z" * 32)
+    wait_until(lambda: server.link.rejected_handshakes > 0, "the handshake is rejected")
     assert not server.sessions
-    assert stranger.session is None
-    stranger.link.stop()
+    assert client.session is None
+    client.link.stop()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_noise_and_sudden_ends_leave_the_server_serving(
+def test_invalid_data_and_disconnects_do_not_stop_the_server(
     address: str, server: Server, client: Client, seed: int
 ) -> None:
-    """Pipes that close while their frame is being refused once ended the server's task."""
+    """Pipes may close while their frame is being rejected."""
     rng = random.Random(seed)
     for _ in range(150):
-        with pynng.Pair1(polyamorous=True) as noise:
-            noise.dial(f"tcp://{address}", block=True)
+        with pynng.Pair1(polyamorous=True) as intruder:
+            intruder.dial(f"tcp://{address}", block=True)
             data = make_hello(KEY, "entry", "n", "n")[1] if rng.random() < 0.3 else bytes(9)
-            noise.send(data)
+            intruder.send(data)
             if rng.random() < 0.3:
-                noise.send(bytes(rng.randrange(60)))
+                intruder.send(bytes(rng.randrange(60)))
     assert client.session is not None
     client.session.send(Forget(7, 7))
-    wait_until(lambda: Forget(7, 7) in server.messages, "it still serves")
-    wait_until(lambda: len(server.ended) == len(server.sessions) - 1, "their sessions end")
+    wait_until(lambda: Forget(7, 7) in server.messages, "the message arrives")
+    wait_until(lambda: len(server.ended) == len(server.sessions) - 1, "the other sessions end")
 
 
-def test_silence_ends_a_session(server: Server, client: Client) -> None:
+def test_heartbeats_keep_an_idle_session_open(server: Server, client: Client) -> None:
     assert client.session is not None
-    assert not client.session.silent
+    assert not client.session.is_timed_out
     began = time.monotonic()
-    wait_until(lambda: time.monotonic() - began > 1.5, "a heartbeat or two")
-    assert not client.session.silent
+    wait_until(lambda: time.monotonic() - began > 1.5, "heartbeats are sent")
+    assert not client.session.is_timed_out
     assert client.opened == ["run-1"]
 
 
 def test_a_connection_that_does_not_come_about_is_given_up() -> None:
-    """The operating system goes on for two minutes, and asks ever more seldom."""
-    with socket.socket() as deaf:
-        deaf.bind(("127.0.0.1", 0))
-        deaf.listen(0)
-        host, port = deaf.getsockname()
-        waiting = [socket.socket() for _ in range(8)]
+    """The connect timeout is shorter than that of the operating system."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        host, port = listener.getsockname()
+        connections = [socket.socket() for _ in range(8)]
         try:
-            for each in waiting:  # what is beyond the queue is not answered
+            for each in connections:  # fill the accept queue
                 each.setblocking(False)
                 each.connect_ex((host, port))
             client = Client(f"{host}:{port}")
-            wait_until(lambda: "no connection" in client.link.last_fault, "given up", 10)
+            wait_until(
+                lambda: "no connection" in client.link.last_error, "the connection times out", 10
+            )
             client.link.stop()
         finally:
-            for each in waiting:
+            for each in connections:
                 each.close()
     assert client.opened == []
 
 
-def test_a_link_that_is_not_wanted_any_more_ends(server: Server, client: Client) -> None:
-    """Its receiving task waits without a limit; the sending one wakes it."""
+def test_stopping_a_link_ends_its_session(server: Server, client: Client) -> None:
+    """The sending thread wakes the receiving thread, which waits without a timeout."""
     client.link.stop()
     wait_until(lambda: client.session is None, "the session ends")
-    wait_until(lambda: not client.link._task.is_alive(), "and the task with it")
-    wait_until(lambda: len(server.ended) == 1, "the other end notices")
+    wait_until(lambda: not client.link._thread.is_alive(), "the thread ends")
+    wait_until(lambda: len(server.ended) == 1, "the server ends the session")
 
 
-def test_a_server_that_has_stopped_leaves_its_address(address: str, server: Server) -> None:
+def test_stopped_server_releases_its_address(address: str, server: Server) -> None:
     server.link.stop()
-    again = Server(address, "run-2")
-    again.link.stop()
+    restarted = Server(address, "run-2")
+    restarted.link.stop()
--- a/src/canvasyoke/transport/tests/test_receiver.py
+++ b/src/canvasyoke/transport/tests/test_receiver.py
@@ -1,4 +1,4 @@
-"""A wait on a socket that others can end without touching the socket."""
+"""A wait on a socket that other threads can interrupt without calling the socket."""
 
 from __future__ import annotations
 
@@ -24,38 +24,40 @@
         yield one, other
 
 
-def test_what_has_come_is_there_in_order(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
+def test_messages_are_received_in_order(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
     one, other = pair
-    got: list[bytes] = []
+    received: list[bytes] = []
     with closing(Receiver(one, one.recv)) as receiver:
         for number in range(100):
             other.send(b"%d" % number)
-            while len(got) <= number:
+            while len(received) <= number:
                 receiver.wait()
-                got += receiver.arrivals()
-    assert got == [b"%d" % number for number in range(100)]
+                received += receiver.receive_available()
+    assert received == [b"%d" % number for number in range(100)]
 
 
-def test_a_wait_without_a_limit_is_ended_from_another_task(
+def test_wait_without_a_timeout_is_interrupted_by_another_thread(
     pair: tuple[pynng.Pair1, pynng.Pair1],
 ) -> None:
     with closing(Receiver(pair[0], pair[0].recv)) as receiver:
-        task = threading.Thread(target=receiver.wait)
-        task.start()
+        thread = threading.Thread(target=receiver.wait)
+        thread.start()
         receiver.wake()
-        wait_until(lambda: not task.is_alive(), "the wait ends")
-        assert not list(receiver.arrivals())
+        wait_until(lambda: not thread.is_alive(), "the wait ends")
+        assert not list(receiver.receive_available())
 
 
-def test_word_before_the_wait_is_not_lost(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
+def test_wake_before_the_wait_is_not_lost(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
     with closing(Receiver(pair[0], pair[0].recv)) as receiver:
         receiver.wake()
         receiver.wake()
         receiver.wait()
 
 
-def test_word_after_the_end_reaches_nobody_else(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
-    """The descriptor's number belongs to whoever opened something since."""
+def test_wake_after_close_does_not_affect_a_reused_descriptor(
+    pair: tuple[pynng.Pair1, pynng.Pair1],
+) -> None:
+    """The number of the closed descriptor may have been reused."""
     first = Receiver(pair[0], pair[0].recv)
     first.close()
     with closing(Receiver(pair[0], pair[0].recv)) as second:
@@ -63,8 +65,8 @@
         assert second._poll.poll(0) == []
 
 
-def test_a_socket_of_no_use_says_so(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
+def test_closed_socket_raises(pair: tuple[pynng.Pair1, pynng.Pair1]) -> None:
     with closing(Receiver(pair[0], pair[0].recv)) as receiver:
         pair[0].close()
         with pytest.raises(pynng.NNGException):
-            list(receiver.arrivals())
+            list(receiver.receive_available())
