--- a/src/canvasyoke/entry/_target_client.py
+++ b/src/canvasyoke/entry/_target_client.py
@@ -18,15 +18,15 @@
     Cancel,
     Chunk,
     ConfigOffer,
-    ConfigWanted,
+    ConfigRequest,
     Drained,
     End,
     Forget,
-    Go,
     Head,
     Load,
     LoadReport,
     Message,
+    Proceed,
     Queued,
     Ready,
     Refused,
@@ -140,7 +140,7 @@
     @property
     def fault(self) -> str:
         """Return why the link is down; empty if it is up."""
-        return "" if self.connected else self._client.last_fault
+        return "" if self.connected else self._client.last_error
 
     @property
     def in_flight(self) -> int:
@@ -194,7 +194,7 @@
 
     def claim_slot(self, attempt: Attempt) -> None:
         """Run a standby attempt in the slot that the target has reserved for it."""
-        self.send(Go(attempt.run.request, attempt.run.attempt))
+        self.send(Proceed(attempt.run.request, attempt.run.attempt))
 
     def cancel(self, attempt: Attempt) -> None:
         """Send a cancellation; the target's reply is still received."""
@@ -223,7 +223,7 @@
                 attempt.put(AttemptLost())
 
     def _on_close(self, session: Session) -> None:
-        _log.info("link closed", target=session.peer, fault=self._client.last_fault)
+        _log.info("link closed", target=session.peer, fault=self._client.last_error)
         with self._lock:
             if self._session is session:
                 self._session = None
@@ -241,7 +241,7 @@
                 self.drained = True
             case ConfigOffer():
                 self._on_config_offer(message)
-            case ConfigWanted():
+            case ConfigRequest():
                 self._on_config_wanted(session, message.generation)
             case _:
                 _log.warning("unexpected message type", target=session.peer)
--- a/src/canvasyoke/entry/_target_pool.py
+++ b/src/canvasyoke/entry/_target_pool.py
@@ -20,7 +20,7 @@
 )
 from canvasyoke.entry._target_client import TargetClient
 from canvasyoke.observe import part_logger
-from canvasyoke.protocol import ConfigOffer, ConfigWanted, Reason
+from canvasyoke.protocol import ConfigOffer, ConfigRequest, Reason
 from canvasyoke.state import (
     ConfigKeeper,
     ConfigView,
@@ -184,7 +184,7 @@
         if report.generation < generation and target.offered_generation < generation:
             self.offer_config(target)
         elif report.generation > generation:
-            target.send(ConfigWanted(generation))
+            target.send(ConfigRequest(generation))
 
     def offer_config(self, target: TargetClient) -> None:
         """Send the configuration in force to ``target``."""
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -15,14 +15,14 @@
 from canvasyoke.protocol import (
     Cancel,
     ConfigOffer,
-    ConfigWanted,
+    ConfigRequest,
     Drained,
     Forget,
-    Go,
     GroupOrder,
     Load,
     LoadReport,
     Message,
+    Proceed,
     Resume,
     Run,
     SlotClaim,
@@ -189,13 +189,13 @@
                 )
             case Cancel():
                 self._scheduler.cancel.defer(session, message.request, message.attempt)
-            case Go():
+            case Proceed():
                 self._scheduler.start_reserved.defer(session, message.request, message.attempt)
             case Forget():
                 self._scheduler.forget.defer(session, message.request, message.attempt)
             case ConfigOffer():
                 self._adopt_config.defer(Snapshot(message.root, message.contents))
-            case ConfigWanted():
+            case ConfigRequest():
                 self._offer_config(session, message.generation)
             case GroupOrder():
                 self._order_executor.submit(self._execute_order, session, message)
