--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks and experiments: `make bench`."""
+"""Benchmarks, run by `make bench`."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,8 +1,8 @@
-"""Runs experiments: ``python -m bench [NAME...]``.
+"""Runs benchmarks: ``python -m bench [NAME...]``.
 
-``python -m bench page`` writes the page of their results, ``python -m bench losses FILE...``
-tells from logs where callers lost something, ``python -m bench ablate ...`` what each
-mechanism is worth.
+``python -m bench page`` renders the stored results, ``python -m bench losses FILE...``
+summarises failed and late requests from logs, and ``python -m bench ablate ...`` measures the
+effect of disabling each mechanism.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from bench._registry import EXPERIMENTS, SEED, Result, render
 
 _ROOT: Final = Path(__file__).resolve().parent.parent
-_RESULTS: Final = _ROOT / "bench" / "results"
-_PAGE: Final = _ROOT / "docs" / "BENCHMARKS.md"
-_HEAD: Final = """# Benchmarks
+_RESULTS_DIR: Final = _ROOT / "bench" / "results"
+_PAGE_PATH: Final = _ROOT / "docs" / "BENCHMARKS.md"
+_PAGE_HEADER: Final = """# Benchmarks
 
 Written by `python -m bench page` from the files that `make bench` left in
 bench/results; nothing here is typed by hand. `make bench ONLY=NAME` repeats one
@@ -37,7 +37,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the experiments named, or all of them; 2 for a name that is not known."""
+    """Run the named experiments, or all of them; return 2 for an unknown name."""
     if names == ["page"]:
         write_page()
         return 0
@@ -47,24 +47,24 @@
         return bench.ablation.main(names[1:])
     unknown = [name for name in names if name not in EXPERIMENTS.names()]
     if unknown:
-        print(f"no experiment {unknown[0]!r}; there are: {', '.join(EXPERIMENTS.names())}")
+        print(f"unknown experiment {unknown[0]!r}; available: {', '.join(EXPERIMENTS.names())}")
         return 2
-    _RESULTS.mkdir(exist_ok=True)
+    _RESULTS_DIR.mkdir(exist_ok=True)
     for name in names or EXPERIMENTS.names():
         print(f"running {name} ...", flush=True)
         result = EXPERIMENTS.get(name)(SEED)
         data = msgspec.json.format(msgspec.json.encode(result), indent=1)
-        (_RESULTS / f"{name}.json").write_bytes(data + b"\n")
+        (_RESULTS_DIR / f"{name}.json").write_bytes(data + b"\n")
         print(render(result), flush=True)
     return 0
 
 
 def write_page() -> None:
-    """Write docs/BENCHMARKS.md from the results there are."""
-    parts = [_HEAD]
-    for path in sorted(_RESULTS.glob("*.json")):
-        parts.append(render(msgspec.json.decode(path.read_bytes(), type=Result)))
-    _PAGE.write_text("\n".join(parts))
+    """Write docs/BENCHMARKS.md from the stored results."""
+    sections = [_PAGE_HEADER]
+    for path in sorted(_RESULTS_DIR.glob("*.json")):
+        sections.append(render(msgspec.json.decode(path.read_bytes(), type=Result)))
+    _PAGE_PATH.write_text("\n".join(sections))
 
 
 if __name__ == "__main__":
--- a/bench/_link_churn.py
+++ b/bench/_link_churn.py
@@ -1,6 +1,7 @@
-"""One process that opens and closes links without an end: ``USE SECONDS SEED``.
+"""Opens and closes links in a loop: ``USE SECONDS SEED``.
 
-Prints how many links there were, if it gets that far.
+``USE`` is "one task" to close sockets in the waiting thread, or "two tasks" to close them in
+another. Prints the number of links opened, unless the library aborts the process first.
 """
 
 from __future__ import annotations
@@ -20,85 +21,89 @@
 from fakes.ports import free_address
 
 _CLIENTS: Final = 6
-#: Milliseconds that calls wait at the most.
-_HANDSHAKE: Final = 300
-_WAIT: Final = 1_000
-#: Seconds for a connection to come about, and for which a server, and a link, stands.
-_CONNECT: Final = 0.1
-_SERVER_STANDS: Final = (0.02, 0.25)
-_LINK_STANDS: Final = 0.3
+#: Timeouts of socket calls, in milliseconds.
+_HANDSHAKE_TIMEOUT: Final = 300
+_RECEIVE_TIMEOUT: Final = 1_000
+#: Timeout of a connection attempt, and lifetimes of servers and links, in seconds.
+_CONNECT_TIMEOUT: Final = 0.1
+_SERVER_LIFETIME: Final = (0.02, 0.25)
+_MAX_LINK_LIFETIME: Final = 0.3
 
 
-class Churn:
-    """Clients of a server that comes and goes, until the time is over."""
+class LinkChurn:
+    """Connects clients to a repeatedly restarting server until the time is up."""
 
-    def __init__(self, is_one_task: bool, seconds: float, seed: int) -> None:
-        self._is_one_task = is_one_task
-        self._until = time.monotonic() + seconds
+    def __init__(self, is_single_owner: bool, seconds: float, seed: int) -> None:
+        self._is_single_owner = is_single_owner
+        self._deadline = time.monotonic() + seconds
         self._rng = random.Random(seed)
         self._address = f"tcp://{free_address()}"
-        self._links = 0
+        self._link_count = 0
 
     def run(self) -> int:
-        """Return the links that there were."""
-        tasks = [threading.Thread(target=self._serve)]
-        tasks += [
+        """Run to the end and return the number of links opened."""
+        threads = [threading.Thread(target=self._serve)]
+        threads += [
             threading.Thread(target=self._dial, args=(random.Random(self._rng.random()),))
             for _ in range(_CLIENTS)
         ]
-        for task in tasks:
-            task.start()
-        for task in tasks:
-            task.join()
-        return self._links
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
+        return self._link_count
 
-    def _goes_on(self) -> bool:
-        return time.monotonic() < self._until
+    def _has_time_left(self) -> bool:
+        return time.monotonic() < self._deadline
 
     def _serve(self) -> None:
-        while self._goes_on():
-            socket = pynng.Pair1(polyamorous=True, recv_timeout=_WAIT)
+        while self._has_time_left():
+            socket = pynng.Pair1(polyamorous=True, recv_timeout=_RECEIVE_TIMEOUT)
             try:
                 socket.listen(self._address)
             except pynng.NNGException:
                 socket.close()
                 time.sleep(0.01)
                 continue
-            stands = self._rng.uniform(*_SERVER_STANDS)
-            self._stand(socket, partial(time.sleep, stands), socket.recv_msg, _welcome)
+            lifetime = self._rng.uniform(*_SERVER_LIFETIME)
+            self._receive_until_end(
+                socket, partial(time.sleep, lifetime), socket.recv_msg, _send_welcome
+            )
             socket.close()
 
     def _dial(self, rng: random.Random) -> None:
-        while self._goes_on():
-            self._links += 1
+        while self._has_time_left():
+            self._link_count += 1
             with pynng.Pair1(
-                polyamorous=True, recv_timeout=_HANDSHAKE, send_timeout=_HANDSHAKE
+                polyamorous=True, recv_timeout=_HANDSHAKE_TIMEOUT, send_timeout=_HANDSHAKE_TIMEOUT
             ) as socket:
                 connected, lost = threading.Event(), threading.Event()
                 socket.add_post_pipe_connect_cb(_setter(connected))
                 socket.add_post_pipe_remove_cb(_setter(lost))
                 socket.dial(self._address, block=False)
-                if not connected.wait(_CONNECT):
+                if not connected.wait(_CONNECT_TIMEOUT):
                     continue
                 try:
                     socket.send(b"hello")
                     socket.recv()
                 except pynng.NNGException:
                     continue
-                socket.recv_timeout = _WAIT
-                until = rng.uniform(0, _LINK_STANDS)
-                self._stand(socket, partial(lost.wait, until), socket.recv, lambda *_: None)
+                socket.recv_timeout = _RECEIVE_TIMEOUT
+                lifetime = rng.uniform(0, _MAX_LINK_LIFETIME)
+                self._receive_until_end(
+                    socket, partial(lost.wait, lifetime), socket.recv, lambda *_: None
+                )
 
-    def _stand(
+    def _receive_until_end(
         self,
         socket: Any,
         wait_for_end: Callable[[], object],
-        take: Callable[..., Any],
-        took: Callable[[Any, Any], None],
+        receive: Callable[..., Any],
+        handle: Callable[[Any, Any], None],
     ) -> None:
-        """Take what comes until the end, of which another task hears first."""
+        """Receive messages until another thread ends the link."""
         ended = threading.Event()
-        receiver = Receiver(socket, take) if self._is_one_task else None
+        receiver = Receiver(socket, receive) if self._is_single_owner else None
 
         def end() -> None:
             wait_for_end()
@@ -108,30 +113,30 @@
             else:
                 receiver.wake()
 
-        other = threading.Thread(target=end)
-        other.start()
+        closer = threading.Thread(target=end)
+        closer.start()
         try:
             while not ended.is_set():
-                for arrival in _arrivals(receiver, take):
-                    took(socket, arrival)
+                for message in _receive_messages(receiver, receive):
+                    handle(socket, message)
         except pynng.NNGException:
-            pass  # it was closed, as it is to be
-        other.join()
+            pass  # The other thread closed the socket.
+        closer.join()
         if receiver is not None:
             receiver.close()
 
 
-def _arrivals(receiver: Receiver[Any] | None, take: Callable[..., Any]) -> Iterator[Any]:
-    """Wait, and yield what has come."""
+def _receive_messages(receiver: Receiver[Any] | None, receive: Callable[..., Any]) -> Iterator[Any]:
+    """Wait for messages and yield them."""
     if receiver is not None:
         receiver.wait()
         yield from receiver.arrivals()
         return
     with contextlib.suppress(pynng.Timeout):
-        yield take()
+        yield receive()
 
 
-def _welcome(socket: Any, message: Any) -> None:
+def _send_welcome(socket: Any, message: Any) -> None:
     if message.pipe is not None:
         socket.send_msg(pynng.Message(b"welcome", message.pipe))
 
@@ -141,4 +146,6 @@
 
 
 if __name__ == "__main__":
-    print(Churn(sys.argv[1] == "one task", float(sys.argv[2]), int(sys.argv[3])).run(), flush=True)
+    print(
+        LinkChurn(sys.argv[1] == "one task", float(sys.argv[2]), int(sys.argv[3])).run(), flush=True
+    )
--- a/bench/_process.py
+++ b/bench/_process.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, and quantiles of samples."""
+"""CPU time and memory of processes, and quantiles of samples."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time a process has used."""
+    """Return the CPU time used by a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 def resident_mb(pid: int) -> float:
@@ -24,6 +24,6 @@
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """Return the value under which ``fraction`` of ``values`` lie; 0 without values."""
+    """Return the quantile of ``values`` at ``fraction``, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
--- a/bench/_registry.py
+++ b/bench/_registry.py
@@ -1,4 +1,4 @@
-"""The registry of experiments and the shape of what they return."""
+"""Registry of experiments and the format of their results."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from canvasyoke import Registry
 
-#: A figure or a name in a table.
+#: Value of a table cell.
 Cell: TypeAlias = float | int | str
 
 
 class Table(msgspec.Struct):
-    """One table of results."""
+    """A titled table of results."""
 
     title: str
     columns: list[str]
@@ -22,23 +22,22 @@
 
 
 class Result(msgspec.Struct):
-    """What one experiment found."""
+    """Result of one experiment."""
 
     name: str
-    #: What was measured and how, in a sentence or two.
+    #: What was measured and how.
     method: str
     seed: int
     tables: list[Table]
-    #: Goals and whether they were met, in words made from the figures.
+    #: Conclusions, such as whether a goal was met.
     findings: list[str] = []
 
 
-#: An experiment takes a seed.
+#: Runs an experiment with a seed.
 Experiment: TypeAlias = Callable[[int], Result]
 
-#: All experiments by name.
 EXPERIMENTS: Registry[Experiment] = Registry("experiment")
-#: Seed of all published figures.
+#: Seed of the published results.
 SEED: Final = 20_261_202
 
 
@@ -49,13 +48,13 @@
         lines += [f"**{table.title}**", ""]
         lines.append("| " + " | ".join(table.columns) + " |")
         lines.append("|" + "|".join("---" for _ in table.columns) + "|")
-        lines += ["| " + " | ".join(_cell(c) for c in row) + " |" for row in table.rows]
+        lines += ["| " + " | ".join(_format_cell(c) for c in row) + " |" for row in table.rows]
         lines.append("")
     lines += [f"- {finding}" for finding in result.findings]
     return "\n".join(lines).rstrip() + "\n"
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     return (
         f"{value:,.3g}"
         if isinstance(value, float) and abs(value) < 1_000
--- a/bench/_routing_world.py
+++ b/bench/_routing_world.py
@@ -1,8 +1,7 @@
-"""A small world for the routing decisions: entries, targets and time, no sockets.
+"""Discrete-event simulation of routing decisions, without sockets.
 
-It runs the package's own filter, rankers, ejection, retry rules and target queue;
-only arrivals, service times and the delay of reports are made up. It is no model of
-a fleet: nothing but these decisions is in it.
+It runs the package's own filter, rankers, ejection, retry rules and target queue. Only
+arrivals, service times and report delays are simulated; other parts of a fleet are not.
 """
 
 from __future__ import annotations
@@ -32,74 +31,72 @@
 )
 from canvasyoke.protocol import Outcome, Reason, Refusal
 
-#: Milliseconds one way between an entry and a target.
-LINK: Final = 1.5
-#: Milliseconds between two tokens of a running stream.
-TOKEN: Final = 50.0
-_REPORT_EVERY: Final = 250.0
+#: One-way delay between an entry and a target, in milliseconds.
+LINK_DELAY: Final = 1.5
+#: Interval between tokens of a stream, in milliseconds.
+TOKEN_INTERVAL: Final = 50.0
+_REPORT_INTERVAL: Final = 250.0
 
 
 @dataclass(frozen=True)
-class WorldSpec:
-    """What an experiment sets."""
+class SimulationSpec:
+    """Parameters of a simulation."""
 
     ranker: str
-    #: Whether answers carry the target's load, so that an entry hears of it with
-    #: each token of its own streams there.
-    piggyback: bool
-    #: Requests a second, by organisation.
+    #: Whether each token of a stream carries the target's load to the entry.
+    is_load_piggybacked: bool
+    #: Requests per second, by organisation.
     rates: dict[str, float]
     seed: int
     entries: int = 8
     targets: int = 16
     slots: int = 8
     queue: int = 64
-    #: Mean milliseconds a request holds its slot, and until its first token.
+    #: Mean service time after prefill, and prefill time, in milliseconds.
     duration: float = 400.0
     prefill: float = 40.0
     deadline: float = 3_000.0
-    #: Milliseconds by which reports lag.
-    lag: float = 1_000.0
+    #: Delay of load reports and cache events, in milliseconds.
+    report_delay: float = 1_000.0
     seconds: float = 60.0
-    #: Milliseconds at the start that are not counted.
+    #: Initial milliseconds excluded from the results.
     warmup: float = 5_000.0
-    #: Factor on the service time of each target that is slow.
+    #: Service time factor by index of a slow target.
     slow: dict[int, float] = field(default_factory=dict)
-    #: Targets that are dead, from and until (in ms); they answer with a lost link.
+    #: Outages by target index, as (start, end) in milliseconds; requests get LINK_LOST.
     dead: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
-    #: Distinct prompt prefixes (0 for none) and prefixes a target's cache holds.
+    #: Number of distinct prompt prefixes (0 for none), and cache capacity of a target.
     prefixes: int = 0
     cache: int = 0
-    #: Part of the cache events that is lost.
+    #: Fraction of cache events that is lost.
     events_lost: float = 0.0
     affinity: bool = False
-    #: Places at which a request that has to wait stands in line at once; 1 for none
-    #: but its first.
-    places: int = 1
+    #: Maximum number of target queues in which a waiting request is placed at once.
+    max_queues: int = 1
 
 
 @dataclass
-class Job:
-    """One request."""
+class Request:
+    """A simulated request."""
 
     organisation: str
     entry: int
     arrived: float
     service: float
     prefix: int
-    tried: set[str] = field(default_factory=set)
+    attempted_targets: set[str] = field(default_factory=set)
     attempts: int = 0
-    #: Places where it stands in line, and whether one of them has started it.
-    lines: dict[int, QueuedRequest[Job]] = field(default_factory=dict)
+    #: Queue entries by target index, and whether one of them was granted a slot.
+    queue_entries: dict[int, QueuedRequest[Request]] = field(default_factory=dict)
     granted: bool = False
 
 
 @dataclass
-class Tally:
-    """What came of the requests of one organisation."""
+class RequestStats:
+    """Outcomes of the requests of one organisation."""
 
-    first: list[float] = field(default_factory=list)
-    good: int = 0
+    first_token_ms: list[float] = field(default_factory=list)
+    on_time: int = 0
     late: int = 0
     refused: int = 0
     hits: int = 0
@@ -107,81 +104,81 @@
 
     @property
     def total(self) -> int:
-        """Return all requests counted."""
-        return self.good + self.late + self.refused
+        """Return the number of counted requests."""
+        return self.on_time + self.late + self.refused
 
 
-class _Target:
-    """One target: the package's queue, and a history of its load."""
+class _SimulatedTarget:
+    """A simulated target with the package's queue and a load history."""
 
-    def __init__(self, index: int, spec: WorldSpec, clock: ManualClock) -> None:
+    def __init__(self, index: int, spec: SimulationSpec, clock: ManualClock) -> None:
         self.name = f"t-{index}"
-        self.queue: FairQueue[Job] = FairQueue(clock, spec.slots, spec.queue)
-        self.times: list[float] = [0.0]
-        self.loads: list[tuple[int, int, int]] = [(0, 0, 0)]
+        self.queue: FairQueue[Request] = FairQueue(clock, spec.slots, spec.queue)
+        self.load_times: list[float] = [0.0]
+        self.load_history: list[tuple[int, int, int]] = [(0, 0, 0)]
         self.cached: dict[int, None] = {}
 
-    def note(self, now: float) -> None:
-        """Remember the load as it is now."""
-        self.times.append(now)
+    def record_load(self, now: float) -> None:
+        """Record the current load."""
+        self.load_times.append(now)
         queue = self.queue
-        self.loads.append((queue.running + queue.waiting, queue.waiting, queue.duration))
+        self.load_history.append((queue.running + queue.waiting, queue.waiting, queue.duration))
 
-    def at(self, moment: float) -> tuple[int, int, int]:
-        """Return load, waiting and duration as they were at ``moment``."""
-        return self.loads[max(0, bisect.bisect_right(self.times, moment) - 1)]
+    def load_at(self, moment: float) -> tuple[int, int, int]:
+        """Return load, waiting requests and duration at ``moment``."""
+        return self.load_history[max(0, bisect.bisect_right(self.load_times, moment) - 1)]
 
 
 @dataclass
-class _View:
-    """What one entry knows of one target."""
+class _TargetView:
+    """An entry's view of one target."""
 
     ejection: Ejection
-    own: int = 0
-    #: Own requests under way by time, to tell what a report includes.
-    own_times: list[float] = field(default_factory=lambda: [0.0])
-    own_counts: list[int] = field(default_factory=lambda: [0])
+    own_in_flight: int = 0
+    #: History of own requests in flight, to determine which ones a report includes.
+    in_flight_times: list[float] = field(default_factory=lambda: [0.0])
+    in_flight_counts: list[int] = field(default_factory=lambda: [0])
     prefixes: dict[int, None] = field(default_factory=dict)
 
-    def change(self, now: float, by: int) -> None:
-        """Count a request sent or ended."""
-        self.own += by
-        self.own_times.append(now)
-        self.own_counts.append(self.own)
+    def adjust_in_flight(self, now: float, delta: int) -> None:
+        """Change the number of own requests in flight."""
+        self.own_in_flight += delta
+        self.in_flight_times.append(now)
+        self.in_flight_counts.append(self.own_in_flight)
 
-    def own_at(self, moment: float) -> int:
-        """Return own requests under way at ``moment``."""
-        return self.own_counts[max(0, bisect.bisect_right(self.own_times, moment) - 1)]
+    def in_flight_at(self, moment: float) -> int:
+        """Return the number of own requests in flight at ``moment``."""
+        return self.in_flight_counts[max(0, bisect.bisect_right(self.in_flight_times, moment) - 1)]
 
 
-class World:
-    """Runs one specification to its end."""
+class Simulation:
+    """Executes a simulation as a sequence of timed events."""
 
-    def __init__(self, spec: WorldSpec) -> None:
+    def __init__(self, spec: SimulationSpec) -> None:
         self.spec = spec
-        self.tallies = {name: Tally() for name in spec.rates}
-        #: Tries that met a dead target, by entry.
-        self.dead_tries = [0] * spec.entries
+        self.stats = {name: RequestStats() for name in spec.rates}
+        #: Attempts that reached a dead target, by entry.
+        self.dead_attempts = [0] * spec.entries
         self._rng = random.Random(spec.seed)
         self._clock = ManualClock()
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        self._targets = [_Target(i, spec, self._clock) for i in range(spec.targets)]
+        self._sequence = itertools.count()
+        self._targets = [_SimulatedTarget(i, spec, self._clock) for i in range(spec.targets)]
         self._views = [
-            [_View(Ejection(self._clock)) for _ in self._targets] for _ in range(spec.entries)
+            [_TargetView(Ejection(self._clock)) for _ in self._targets] for _ in range(spec.entries)
         ]
         ranker = RANKERS.get(spec.ranker)
         self._rankers = [ranker(random.Random(spec.seed + i)) for i in range(spec.entries)]
         self._budgets = [RetryBudget() for _ in range(spec.entries)]
 
-    def run(self) -> World:
-        """Run to the end and return itself."""
+    def run(self) -> Simulation:
+        """Run to the end and return ``self``."""
         for name in self.spec.rates:
-            # Arrivals and service times are drawn apart from all choices, so that
-            # every way of choosing meets the very same requests.
-            self._plan_arrival(name, random.Random(f"{self.spec.seed}/{name}"))
-        self._plan(100.0, self._expire)
+            # Arrivals and service times have their own generator, so that every
+            # routing variant receives identical requests.
+            self._schedule_arrival(name, random.Random(f"{self.spec.seed}/{name}"))
+        self._schedule(100.0, self._expire)
         end = self.spec.seconds * 1_000
         while self._events:
             moment, _, action = heapq.heappop(self._events)
@@ -192,49 +189,52 @@
             action()
         return self
 
-    def _plan(self, delay: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self._now + delay, next(self._order), action))
+    def _schedule(self, delay: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (self._now + delay, next(self._sequence), action))
 
-    def _plan_arrival(self, name: str, rng: random.Random) -> None:
+    def _schedule_arrival(self, name: str, rng: random.Random) -> None:
         gap = rng.expovariate(self.spec.rates[name] / 1_000)
         if self._now + gap < self.spec.seconds * 1_000:
-            self._plan(gap, lambda: self._arrive(name, rng))
+            self._schedule(gap, lambda: self._arrive(name, rng))
 
     def _arrive(self, name: str, rng: random.Random) -> None:
         spec = self.spec
         prefix = min(spec.prefixes - 1, int(rng.paretovariate(0.6)) - 1)
         service = rng.lognormvariate(-0.32, 0.8) * spec.duration
         entry = rng.randrange(1 << 16) % spec.entries
-        self._plan_arrival(name, rng)
-        self._route(Job(name, entry, self._now, service, prefix))
+        self._schedule_arrival(name, rng)
+        self._route(Request(name, entry, self._now, service, prefix))
 
-    # At the entry.
+    # Entry side.
 
-    def _route(self, job: Job) -> None:
-        req = RouteRequest("s", "d", frozenset(job.tried))
-        candidates = [self._candidate(job, i) for i in range(len(self._targets))]
-        filtered = filter_candidates(candidates, req)
+    def _route(self, request: Request) -> None:
+        route_request = RouteRequest("s", "d", frozenset(request.attempted_targets))
+        candidates = [self._candidate(request, i) for i in range(len(self._targets))]
+        filtered = filter_candidates(candidates, route_request)
         if not filtered.candidates:
-            self._refused(job, Refusal(Outcome.NOT_RUN, filtered.reason))
+            self._handle_refusal(request, Refusal(Outcome.NOT_RUN, filtered.reason))
             return
-        able = filtered.candidates
-        if self.spec.affinity and job.prefix >= 0:
-            able = self._prefer_cached(job, able)
-        chosen = self._rankers[job.entry].choose(able, req)
+        eligible = filtered.candidates
+        if self.spec.affinity and request.prefix >= 0:
+            eligible = self._prefer_cached(request, eligible)
+        chosen = self._rankers[request.entry].choose(eligible, route_request)
         index = int(chosen.instance.split("-")[1])
-        view = self._views[job.entry][index]
-        view.change(self._now, 1)
+        view = self._views[request.entry][index]
+        view.adjust_in_flight(self._now, 1)
         view.ejection.record_request()
-        job.tried.add(chosen.instance)
-        job.attempts += 1
-        self._plan(LINK, lambda: self._offer(job, index))
-
-    def _candidate(self, job: Job, index: int) -> Candidate:
-        spec, view, target = self.spec, self._views[job.entry][index], self._targets[index]
-        heard = self._now - spec.lag - self._now % _REPORT_EVERY
-        if spec.piggyback and view.own:
-            heard = max(heard, self._now - LINK - self._rng.uniform(0, TOKEN / view.own))
-        load, waiting, duration = target.at(heard)
+        request.attempted_targets.add(chosen.instance)
+        request.attempts += 1
+        self._schedule(LINK_DELAY, lambda: self._deliver(request, index))
+
+    def _candidate(self, request: Request, index: int) -> Candidate:
+        spec, view, target = self.spec, self._views[request.entry][index], self._targets[index]
+        report_time = self._now - spec.report_delay - self._now % _REPORT_INTERVAL
+        if spec.is_load_piggybacked and view.own_in_flight:
+            report_time = max(
+                report_time,
+                self._now - LINK_DELAY - self._rng.uniform(0, TOKEN_INTERVAL / view.own_in_flight),
+            )
+        load, waiting, duration = target.load_at(report_time)
         return Candidate(
             instance=target.name,
             domain="d",
@@ -248,192 +248,203 @@
             reported_load=load,
             reported_waiting=waiting,
             report_age=0,
-            own_in_flight_at_report=view.own_at(heard),
-            own_in_flight=view.own,
+            own_in_flight_at_report=view.in_flight_at(report_time),
+            own_in_flight=view.own_in_flight,
             duration=duration,
         )
 
-    def _prefer_cached(self, job: Job, able: tuple[Candidate, ...]) -> tuple[Candidate, ...]:
-        """Keep to targets thought to hold the prefix, while one of them is not busy."""
-        views = self._views[job.entry]
-        warm = tuple(
+    def _prefer_cached(
+        self, request: Request, eligible: tuple[Candidate, ...]
+    ) -> tuple[Candidate, ...]:
+        """Return targets believed to cache the prefix and to have a free slot, or all."""
+        views = self._views[request.entry]
+        cached_candidates = tuple(
             c
-            for c in able
-            if job.prefix in views[int(c.instance.split("-")[1])].prefixes and c.load < c.slots
+            for c in eligible
+            if request.prefix in views[int(c.instance.split("-")[1])].prefixes and c.load < c.slots
         )
-        return warm or able
+        return cached_candidates or eligible
 
-    def _end_attempt(self, job: Job, index: int, failed: Reason | None) -> None:
-        view = self._views[job.entry][index]
-        view.change(self._now, -1)
+    def _end_attempt(self, request: Request, index: int, failed: Reason | None) -> None:
+        view = self._views[request.entry][index]
+        view.adjust_in_flight(self._now, -1)
         if failed is Reason.LINK_LOST:
             view.ejection.record_failure()
-            self.dead_tries[job.entry] += 1
+            self.dead_attempts[request.entry] += 1
         elif failed is None:
             view.ejection.record_success()
-            self._budgets[job.entry].record_success()
+            self._budgets[request.entry].record_success()
 
-    def _refused(self, job: Job, refusal: Refusal) -> None:
-        remaining = round(job.arrived + self.spec.deadline - self._now)
-        attempted = FailedAttempt(refusal, True, job.attempts, remaining)
+    def _handle_refusal(self, request: Request, refusal: Refusal) -> None:
+        remaining = round(request.arrived + self.spec.deadline - self._now)
+        failed_attempt = FailedAttempt(refusal, True, request.attempts, remaining)
         if (
-            job.attempts
-            and decide_retry(attempted, self._budgets[job.entry]) is RetryDecision.RETRY
+            request.attempts
+            and decide_retry(failed_attempt, self._budgets[request.entry]) is RetryDecision.RETRY
         ):
-            self._route(job)
-        elif job.arrived >= self.spec.warmup:
-            self.tallies[job.organisation].refused += 1
+            self._route(request)
+        elif request.arrived >= self.spec.warmup:
+            self.stats[request.organisation].refused += 1
 
-    # At the target.
+    # Target side.
 
     def _is_dead(self, index: int) -> bool:
         return any(a <= self._now < b for a, b in self.spec.dead.get(index, []))
 
-    def _offer(self, job: Job, index: int) -> None:
+    def _deliver(self, request: Request, index: int) -> None:
         if self._is_dead(index):
             lost = Refusal(Outcome.UNKNOWN, Reason.LINK_LOST)
-            self._plan(LINK, lambda: self._fail(job, index, lost))
+            self._schedule(LINK_DELAY, lambda: self._handle_failure(request, index, lost))
             return
-        self._stand(job, index)
-        if self.spec.places > 1 and job.lines and not job.granted:
-            self._plan(LINK, lambda: self._stand_elsewhere(job))
+        self._enqueue(request, index)
+        if self.spec.max_queues > 1 and request.queue_entries and not request.granted:
+            self._schedule(LINK_DELAY, lambda: self._enqueue_elsewhere(request))
 
-    def _stand(self, job: Job, index: int) -> None:
-        """Put a request into one target's line."""
-        deadline = round(job.arrived + self.spec.deadline)
+    def _enqueue(self, request: Request, index: int) -> None:
+        """Add a request to a target's queue."""
+        deadline = round(request.arrived + self.spec.deadline)
         now = self._clock.now()
-        waiting = QueuedRequest(job, job.organisation, 1, 0, 3, now, deadline)
-        job.lines[index] = waiting
-        self._settle(index, self._targets[index].queue.offer(waiting))
-
-    def _stand_elsewhere(self, job: Job) -> None:
-        """At the entry: the request has to wait, so it stands in further lines."""
-        for _ in range(self.spec.places - 1):
-            req = RouteRequest("s", "d", frozenset(job.tried))
-            able = filter_candidates(
-                [self._candidate(job, i) for i in range(len(self._targets))], req
+        waiting = QueuedRequest(request, request.organisation, 1, 0, 3, now, deadline)
+        request.queue_entries[index] = waiting
+        self._apply_update(index, self._targets[index].queue.offer(waiting))
+
+    def _enqueue_elsewhere(self, request: Request) -> None:
+        """Add a waiting request to the queues of further targets."""
+        for _ in range(self.spec.max_queues - 1):
+            route_request = RouteRequest("s", "d", frozenset(request.attempted_targets))
+            eligible = filter_candidates(
+                [self._candidate(request, i) for i in range(len(self._targets))], route_request
             ).candidates
-            if job.granted or not able:
+            if request.granted or not eligible:
                 return
-            chosen = self._rankers[job.entry].choose(able, req)
+            chosen = self._rankers[request.entry].choose(eligible, route_request)
             index = int(chosen.instance.split("-")[1])
-            job.tried.add(chosen.instance)
-            self._views[job.entry][index].change(self._now, 1)
-            self._plan(LINK, lambda i=index: self._stand_late(job, i))  # type: ignore[misc]
+            request.attempted_targets.add(chosen.instance)
+            self._views[request.entry][index].adjust_in_flight(self._now, 1)
+            self._schedule(LINK_DELAY, lambda i=index: self._enqueue_additional(request, i))  # type: ignore[misc]
 
-    def _stand_late(self, job: Job, index: int) -> None:
-        if job.granted or self._is_dead(index):
-            self._views[job.entry][index].change(self._now, -1)
+    def _enqueue_additional(self, request: Request, index: int) -> None:
+        if request.granted or self._is_dead(index):
+            self._views[request.entry][index].adjust_in_flight(self._now, -1)
             return
-        self._stand(job, index)
-
-    def _leave_lines(self, job: Job, but: int) -> None:
-        """Take a request that was granted a slot out of all other lines."""
-        for index, waiting in list(job.lines.items()):
-            if index != but:
-                del job.lines[index]
-                self._views[job.entry][index].change(self._now, -1)
+        self._enqueue(request, index)
+
+    def _cancel_other_entries(self, request: Request, kept_index: int) -> None:
+        """Remove a request that was granted a slot from all other queues."""
+        for index, waiting in list(request.queue_entries.items()):
+            if index != kept_index:
+                del request.queue_entries[index]
+                self._views[request.entry][index].adjust_in_flight(self._now, -1)
                 self._targets[index].queue.remove(waiting)
-                self._targets[index].note(self._now)
+                self._targets[index].record_load(self._now)
 
-    def _settle(self, index: int, offer: QueueUpdate[Job]) -> None:
+    def _apply_update(self, index: int, update: QueueUpdate[Request]) -> None:
         target = self._targets[index]
-        target.note(self._now)
-        for waiting, refusal in offer.refused:
-            waiting.item.lines.pop(index, None)
-            if waiting.item.lines:
-                self._views[waiting.item.entry][index].change(self._now, -1)
+        target.record_load(self._now)
+        for waiting, refusal in update.refused:
+            waiting.item.queue_entries.pop(index, None)
+            if waiting.item.queue_entries:
+                self._views[waiting.item.entry][index].adjust_in_flight(self._now, -1)
                 continue
-            self._plan(LINK, lambda j=waiting.item, r=refusal: self._fail(j, index, r))  # type: ignore[misc]
-        for waiting in offer.started:
+            self._schedule(
+                LINK_DELAY,
+                lambda j=waiting.item, r=refusal: self._handle_failure(j, index, r),  # type: ignore[misc]
+            )
+        for waiting in update.started:
             self._start(index, waiting)
 
-    def _start(self, index: int, waiting: QueuedRequest[Job]) -> None:
-        job, spec = waiting.item, self.spec
-        if job.granted:
-            # Two lines gave it a slot within a round trip: the later is given back.
-            job.lines.pop(index, None)
-            self._views[job.entry][index].change(self._now, -1)
-            self._plan(
-                2 * LINK, lambda: self._settle(index, self._targets[index].queue.finish(waiting))
+    def _start(self, index: int, waiting: QueuedRequest[Request]) -> None:
+        request, spec = waiting.item, self.spec
+        if request.granted:
+            # Two targets granted a slot within a round trip: release the later one.
+            request.queue_entries.pop(index, None)
+            self._views[request.entry][index].adjust_in_flight(self._now, -1)
+            self._schedule(
+                2 * LINK_DELAY,
+                lambda: self._apply_update(index, self._targets[index].queue.finish(waiting)),
             )
             return
         waited = waiting.started > waiting.arrived
-        job.granted = True
-        if len(job.lines) > 1:
-            self._plan(2 * LINK, lambda: self._leave_lines(job, index))
-        # A slot that was waited for in several lines is granted over one round trip.
-        prefill = spec.prefill + (2 * LINK if waited and spec.places > 1 else 0)
-        hit = self._use_cache(index, job)
+        request.granted = True
+        if len(request.queue_entries) > 1:
+            self._schedule(2 * LINK_DELAY, lambda: self._cancel_other_entries(request, index))
+        # With several queues, granting a slot to a waiting request takes a round trip.
+        prefill = spec.prefill + (2 * LINK_DELAY if waited and spec.max_queues > 1 else 0)
+        hit = self._use_cache(index, request)
         if spec.prefixes and not hit:
             prefill += 4 * spec.prefill
         factor = spec.slow.get(index, 1.0)
-        held = (prefill + job.service) * factor
-        first = self._now + prefill * factor + LINK
-        self._plan(held, lambda: self._finish(index, waiting, first, hit))
+        slot_time = (prefill + request.service) * factor
+        first_token_ms = self._now + prefill * factor + LINK_DELAY
+        self._schedule(slot_time, lambda: self._finish(index, waiting, first_token_ms, hit))
 
-    def _use_cache(self, index: int, job: Job) -> bool:
-        """Look the prefix up in the target's cache and put it there; tell the entries."""
+    def _use_cache(self, index: int, request: Request) -> bool:
+        """Look up and insert the prefix in the target's cache, and notify the entries."""
         if not self.spec.prefixes:
             return False
         cached = self._targets[index].cached
-        hit = job.prefix in cached
-        cached.pop(job.prefix, None)
-        cached[job.prefix] = None
-        gone = [next(iter(cached))] if len(cached) > self.spec.cache else []
-        for old in gone:
-            del cached[old]
+        hit = request.prefix in cached
+        cached.pop(request.prefix, None)
+        cached[request.prefix] = None
+        evicted = [next(iter(cached))] if len(cached) > self.spec.cache else []
+        for evicted_prefix in evicted:
+            del cached[evicted_prefix]
         if self._rng.random() >= self.spec.events_lost:
-            self._plan(self.spec.lag, lambda: self._hear_cached(index, job.prefix, gone))
+            self._schedule(
+                self.spec.report_delay,
+                lambda: self._apply_cache_event(index, request.prefix, evicted),
+            )
         return hit
 
-    def _hear_cached(self, index: int, prefix: int, gone: list[int]) -> None:
+    def _apply_cache_event(self, index: int, prefix: int, evicted: list[int]) -> None:
         for views in self._views:
-            known = views[index].prefixes
-            known[prefix] = None
-            for old in gone:
-                known.pop(old, None)
-            while len(known) > self.spec.cache:
-                del known[next(iter(known))]
-
-    def _finish(self, index: int, waiting: QueuedRequest[Job], first: float, hit: bool) -> None:
-        job = waiting.item
-        self._settle(index, self._targets[index].queue.finish(waiting))
-        self._plan(LINK, lambda: self._end_attempt(job, index, None))
-        if job.arrived < self.spec.warmup:
+            known_prefixes = views[index].prefixes
+            known_prefixes[prefix] = None
+            for evicted_prefix in evicted:
+                known_prefixes.pop(evicted_prefix, None)
+            while len(known_prefixes) > self.spec.cache:
+                del known_prefixes[next(iter(known_prefixes))]
+
+    def _finish(
+        self, index: int, waiting: QueuedRequest[Request], first_token_ms: float, hit: bool
+    ) -> None:
+        request = waiting.item
+        self._apply_update(index, self._targets[index].queue.finish(waiting))
+        self._schedule(LINK_DELAY, lambda: self._end_attempt(request, index, None))
+        if request.arrived < self.spec.warmup:
             return
-        tally = self.tallies[job.organisation]
-        in_time = self._now + LINK <= job.arrived + self.spec.deadline
-        tally.good += in_time
-        tally.late += not in_time
-        tally.first.append(first - job.arrived)
-        tally.hits += hit
-        tally.misses += not hit
-
-    def _fail(self, job: Job, index: int, refusal: Refusal) -> None:
-        self._end_attempt(job, index, refusal.reason)
-        self._refused(job, refusal)
+        counts = self.stats[request.organisation]
+        is_on_time = self._now + LINK_DELAY <= request.arrived + self.spec.deadline
+        counts.on_time += is_on_time
+        counts.late += not is_on_time
+        counts.first_token_ms.append(first_token_ms - request.arrived)
+        counts.hits += hit
+        counts.misses += not hit
+
+    def _handle_failure(self, request: Request, index: int, refusal: Refusal) -> None:
+        self._end_attempt(request, index, refusal.reason)
+        self._handle_refusal(request, refusal)
 
     def _expire(self) -> None:
         for index, target in enumerate(self._targets):
-            self._settle(index, target.queue.expire())
+            self._apply_update(index, target.queue.expire())
         if self._now < self.spec.seconds * 1_000:
-            self._plan(100.0, self._expire)
+            self._schedule(100.0, self._expire)
 
 
-def single_queue(spec: WorldSpec) -> World:
-    """Run the same arrivals through one queue that sees everything; the best there is."""
+def run_shared_queue(spec: SimulationSpec) -> Simulation:
+    """Run the same arrivals through one shared queue, as the ideal baseline."""
     from dataclasses import replace
 
-    pooled = replace(
+    shared_spec = replace(
         spec,
         ranker="random",
         entries=1,
         targets=1,
         slots=spec.slots * spec.targets,
         queue=spec.queue * spec.targets,
-        lag=0.0,
+        report_delay=0.0,
         slow={},
         dead={},
     )
-    return World(pooled).run()
+    return Simulation(shared_spec).run()
--- a/bench/expert_maps.py
+++ b/bench/expert_maps.py
@@ -1,4 +1,4 @@
-"""Expert maps on drifting popularity: skew against moves, and the planner's own time."""
+"""Compares expert placement policies under drifting popularity, and measures planning time."""
 
 from __future__ import annotations
 
@@ -20,53 +20,53 @@
     plan_map,
 )
 
-#: Looks at the load in one run; each stands for one replan interval.
-_LOOKS: Final = 300
-#: Tokens a step spreads over the experts of a layer, per expert.
-_TOKENS: Final = 40
+#: Replan intervals in one run.
+_INTERVALS: Final = 300
+#: Mean tokens per expert and interval.
+_TOKENS_PER_EXPERT: Final = 40
 _SMOOTHING: Final = 0.4
 
-#: Weights of all experts of a layer at one look.
+#: Popularity of each expert of a layer.
 Weights = list[float]
 Drift = Callable[[int, int, int], Weights]
 
 
-def _base(experts: int, seed: int) -> Weights:
+def _base_popularity(experts: int, seed: int) -> Weights:
     rng = random.Random(f"base/{seed}")
     return [rng.lognormvariate(0.0, 0.7) for _ in range(experts)]
 
 
-def daily(look: int, experts: int, seed: int) -> Weights:
-    """Slow drift: each expert swells and shrinks once in a run, each at its own time."""
+def daily(interval: int, experts: int, seed: int) -> Weights:
+    """Slow drift: each expert's popularity follows one sine period with its own phase."""
     phase = random.Random(f"phase/{seed}")
     return [
-        w * math.exp(1.0 * math.sin(2 * math.pi * (look / _LOOKS + phase.random())))
-        for w in _base(experts, seed)
+        w * math.exp(1.0 * math.sin(2 * math.pi * (interval / _INTERVALS + phase.random())))
+        for w in _base_popularity(experts, seed)
     ]
 
 
-def spike(look: int, experts: int, seed: int) -> Weights:
-    """A few experts become ten times as popular for a fifth of the run."""
-    weights = _base(experts, seed)
-    if _LOOKS * 2 // 5 <= look < _LOOKS * 3 // 5:
+def spike(interval: int, experts: int, seed: int) -> Weights:
+    """One expert in 16 becomes ten times as popular for a fifth of the run."""
+    weights = _base_popularity(experts, seed)
+    if _INTERVALS * 2 // 5 <= interval < _INTERVALS * 3 // 5:
         for expert in random.Random(f"spike/{seed}").sample(range(experts), experts // 16):
             weights[expert] *= 10
     return weights
 
 
-def alternating(look: int, experts: int, seed: int) -> Weights:
-    """Two hot sets take turns every 20 looks."""
-    weights = _base(experts, seed)
-    half = random.Random(f"alternate/{seed}").sample(range(experts), experts // 4)
-    hot = half[::2] if look // 20 % 2 else half[1::2]
+def alternating(interval: int, experts: int, seed: int) -> Weights:
+    """Two sets of hot experts alternate every 20 intervals."""
+    weights = _base_popularity(experts, seed)
+    hot_experts = random.Random(f"alternate/{seed}").sample(range(experts), experts // 4)
+    hot = hot_experts[::2] if interval // 20 % 2 else hot_experts[1::2]
     for expert in hot:
         weights[expert] *= 4
     return weights
 
 
-def noise(look: int, experts: int, seed: int) -> Weights:
-    """No drift at all; only the counts vary."""
-    return _base(experts, seed)
+def noise(interval: int, experts: int, seed: int) -> Weights:
+    """No drift; only the sampled counts vary."""
+    return _base_popularity(experts, seed)
 
 
 DRIFTS: Final[dict[str, Drift]] = {
@@ -78,131 +78,131 @@
 
 
 @dataclass(frozen=True)
-class Shape:
-    """A group."""
+class GroupShape:
+    """Size of an expert-parallel group."""
 
     ranks: int
     experts: int
     capacity: int
 
 
-SHAPES: Final = (Shape(16, 64, 6), Shape(64, 256, 6))
+SHAPES: Final = (GroupShape(16, 64, 6), GroupShape(64, 256, 6))
 
 
-def counted(weights: Weights, rng: random.Random) -> Weights:
-    """Return the tokens seen in one look: the popularity with sampling noise."""
-    scale = _TOKENS * len(weights) / sum(weights)
+def sample_counts(weights: Weights, rng: random.Random) -> Weights:
+    """Return the token counts of one interval: the popularity with sampling noise."""
+    scale = _TOKENS_PER_EXPERT * len(weights) / sum(weights)
     return [max(0.0, rng.gauss(w * scale, math.sqrt(w * scale))) for w in weights]
 
 
 @dataclass
-class Outcome:
-    """What one way did over a run."""
+class PolicyRun:
+    """Skews and costs of one policy over a run."""
 
     skews: list[float]
     copies: int
     changes: int
 
 
-def run_way(drift: Drift, shape: Shape, seed: int, policy: PlanPolicy | None) -> Outcome:
-    """Replan at each look by ``policy``; ``None`` keeps the first map."""
+def run_policy(drift: Drift, shape: GroupShape, seed: int, policy: PlanPolicy | None) -> PolicyRun:
+    """Replan in each interval with ``policy``; ``None`` keeps the initial map."""
     rng = random.Random(f"counts/{seed}")
     ranks = tuple(range(shape.ranks))
     mapping = initial_map(ranks, shape.experts, 1)
     smoothed = [0.0] * shape.experts
-    outcome = Outcome([], 0, 0)
-    for look in range(_LOOKS):
-        weights = drift(look, shape.experts, seed)
-        seen = counted(weights, rng)
-        if look >= 20:
-            outcome.skews.append(map_skew(mapping, [seen], ranks))
-        weight = _SMOOTHING if look else 1.0
-        smoothed = [s + weight * (c - s) for s, c in zip(smoothed, seen, strict=True)]
+    run = PolicyRun([], 0, 0)
+    for interval in range(_INTERVALS):
+        weights = drift(interval, shape.experts, seed)
+        counts = sample_counts(weights, rng)
+        if interval >= 20:
+            run.skews.append(map_skew(mapping, [counts], ranks))
+        weight = _SMOOTHING if interval else 1.0
+        smoothed = [s + weight * (c - s) for s, c in zip(smoothed, counts, strict=True)]
         if policy is None:
             continue
         planned = plan_map(mapping, [smoothed], ranks, shape.capacity, policy)
         if planned != mapping:
-            if look >= 20:
-                outcome.copies += planned.copies_added(mapping)
-                outcome.changes += 1
+            if interval >= 20:
+                run.copies += planned.copies_added(mapping)
+                run.changes += 1
             mapping = planned
-    return outcome
+    return run
 
 
-def full_replan(drift: Drift, shape: Shape, seed: int) -> Outcome:
-    """Place everything anew at each look, with replicas, heaviest first."""
+def full_replan(drift: Drift, shape: GroupShape, seed: int) -> PolicyRun:
+    """Compute a new placement from scratch in each interval."""
     rng = random.Random(f"counts/{seed}")
     ranks = tuple(range(shape.ranks))
     mapping = initial_map(ranks, shape.experts, 1)
     smoothed = [0.0] * shape.experts
-    outcome = Outcome([], 0, 0)
-    for look in range(_LOOKS):
-        seen = counted(drift(look, shape.experts, seed), rng)
-        if look >= 20:
-            outcome.skews.append(map_skew(mapping, [seen], ranks))
-        weight = _SMOOTHING if look else 1.0
-        smoothed = [s + weight * (c - s) for s, c in zip(smoothed, seen, strict=True)]
-        planned = ExpertMap((place_anew(smoothed, shape),))
-        if look >= 20:
-            outcome.copies += planned.copies_added(mapping)
-            outcome.changes += 1
+    run = PolicyRun([], 0, 0)
+    for interval in range(_INTERVALS):
+        counts = sample_counts(drift(interval, shape.experts, seed), rng)
+        if interval >= 20:
+            run.skews.append(map_skew(mapping, [counts], ranks))
+        weight = _SMOOTHING if interval else 1.0
+        smoothed = [s + weight * (c - s) for s, c in zip(smoothed, counts, strict=True)]
+        planned = ExpertMap((place_from_scratch(smoothed, shape),))
+        if interval >= 20:
+            run.copies += planned.copies_added(mapping)
+            run.changes += 1
         mapping = planned
-    return outcome
+    return run
 
 
-def place_anew(loads: Weights, shape: Shape) -> tuple[tuple[int, ...], ...]:
-    """Give the spare room to the hottest experts, then pack heaviest first."""
+def place_from_scratch(loads: Weights, shape: GroupShape) -> tuple[tuple[int, ...], ...]:
+    """Replicate the hottest experts into the spare capacity, then place the heaviest first."""
     replicas = [1] * shape.experts
     for _ in range(shape.ranks * shape.capacity - shape.experts):
         hottest = max(range(shape.experts), key=lambda e: loads[e] / replicas[e])
         if replicas[hottest] < shape.ranks:
             replicas[hottest] += 1
     totals = [0.0] * shape.ranks
-    held = [0] * shape.ranks
+    replicas_on_rank = [0] * shape.ranks
     holders: list[list[int]] = [[] for _ in range(shape.experts)]
     for expert in sorted(range(shape.experts), key=lambda e: -loads[e] / replicas[e]):
         for _ in range(replicas[expert]):
-            able = [
+            eligible = [
                 r
                 for r in range(shape.ranks)
-                if held[r] < shape.capacity and r not in holders[expert]
+                if replicas_on_rank[r] < shape.capacity and r not in holders[expert]
             ]
-            if not able:
+            if not eligible:
                 break
-            rank = min(able, key=lambda r: totals[r])
+            rank = min(eligible, key=lambda r: totals[r])
             holders[expert].append(rank)
-            held[rank] += 1
+            replicas_on_rank[rank] += 1
             totals[rank] += loads[expert] / replicas[expert]
     return tuple(tuple(sorted(h)) for h in holders)
 
 
 @EXPERIMENTS.register("expert_maps")
 def expert_maps(seed: int) -> Result:
-    """Compare the policies with a fixed map and with placing everything anew."""
+    """Compare the policies with a fixed map and with full replanning."""
     tables = []
     findings = []
     for shape in SHAPES:
         rows: list[list[Cell]] = []
         for drift_name, drift in DRIFTS.items():
-            outcomes = {"fixed map": run_way(drift, shape, seed, None)}
-            outcomes["full re-plan"] = full_replan(drift, shape, seed)
+            runs = {"fixed map": run_policy(drift, shape, seed, None)}
+            runs["full re-plan"] = full_replan(drift, shape, seed)
             for name, policy in POLICIES.items():
-                outcomes[name] = run_way(drift, shape, seed, policy)
-            full = outcomes["full re-plan"]
-            for name, outcome in outcomes.items():
-                p99 = quantile(outcome.skews, 0.99)
+                runs[name] = run_policy(drift, shape, seed, policy)
+            full_run = runs["full re-plan"]
+            for name, run in runs.items():
+                p99 = quantile(run.skews, 0.99)
                 rows.append(
                     [
                         drift_name,
                         name,
-                        quantile(outcome.skews, 0.5),
+                        quantile(run.skews, 0.5),
                         p99,
-                        outcome.copies,
-                        outcome.changes,
-                        100 * outcome.copies / max(1, full.copies),
+                        run.copies,
+                        run.changes,
+                        100 * run.copies / max(1, full_run.copies),
                     ]
                 )
-            findings += _judge(shape, drift_name, outcomes)
+            findings += _compare_with_full_replan(shape, drift_name, runs)
         columns = ["drift", "way", "skew p50", "skew p99", "copies moved", "map changes"]
         title = f"{shape.ranks} ranks x {shape.experts} experts, room for {shape.capacity} a rank"
         tables.append(Table(title, [*columns, "% of full re-plan's copies"], rows))
@@ -210,9 +210,9 @@
     return Result(
         name="expert_maps",
         method=(
-            f"{_LOOKS} looks at the load, the first 20 not counted; {_TOKENS} tokens an expert "
-            "and look with sampling noise, smoothed as the owner does. Skew is the slowest "
-            "rank's load over the mean; copies are experts loaded onto a rank."
+            f"{_INTERVALS} looks at the load, the first 20 not counted; {_TOKENS_PER_EXPERT} "
+            "tokens an expert and look with sampling noise, smoothed as the owner does. Skew is "
+            "the slowest rank's load over the mean; copies are experts loaded onto a rank."
         ),
         seed=seed,
         tables=tables,
@@ -220,16 +220,18 @@
     )
 
 
-def _judge(shape: Shape, drift: str, outcomes: dict[str, Outcome]) -> list[str]:
-    full, ours = outcomes["full re-plan"], outcomes["skew-first"]
-    ratio = quantile(ours.skews, 0.99) / quantile(full.skews, 0.99)
-    part = ours.copies / max(1, full.copies)
-    met = "met" if ratio <= 1.05 and part <= 0.1 else "missed"
+def _compare_with_full_replan(
+    shape: GroupShape, drift: str, runs: dict[str, PolicyRun]
+) -> list[str]:
+    full_run, skew_first = runs["full re-plan"], runs["skew-first"]
+    skew_ratio = quantile(skew_first.skews, 0.99) / quantile(full_run.skews, 0.99)
+    copy_ratio = skew_first.copies / max(1, full_run.copies)
+    verdict = "met" if skew_ratio <= 1.05 and copy_ratio <= 0.1 else "missed"
     if drift == "noise only":
-        met = "next to no move"
+        verdict = "next to no move"
     return [
-        f"{shape.ranks}x{shape.experts}, {drift}: skew-first has {ratio:.2f} of full re-plan's "
-        f"p99 skew at {100 * part:.1f}% of its copies (goal 1.05 at 10%: {met})"
+        f"{shape.ranks}x{shape.experts}, {drift}: skew-first has {skew_ratio:.2f} of full "
+        f"re-plan's p99 skew at {100 * copy_ratio:.1f}% of its copies (goal 1.05 at 10%: {verdict})"
     ]
 
 
@@ -239,17 +241,17 @@
         shape = SHAPES[1]
         ranks = tuple(range(shape.ranks))
         loads = [
-            counted(_base(shape.experts, seed + layer), random.Random(layer))
+            sample_counts(_base_popularity(shape.experts, seed + layer), random.Random(layer))
             for layer in range(layers)
         ]
         start = initial_map(ranks, shape.experts, layers)
         for name, policy in POLICIES.items():
-            began = time.process_time()
+            start_time = time.process_time()
             planned = plan_map(start, loads, ranks, shape.capacity, policy)
-            first = time.process_time() - began
-            began = time.process_time()
+            first_plan = time.process_time() - start_time
+            start_time = time.process_time()
             plan_map(planned, loads, ranks, shape.capacity, policy)
-            again = time.process_time() - began
-            rows.append([layers, name, first, again])
+            next_plan = time.process_time() - start_time
+            rows.append([layers, name, first_plan, next_plan])
     columns = ["layers", "policy", "first plan, s", "next plan, s"]
     return Table("Planner's processor time, 64 ranks x 256 experts", columns, rows)
--- a/bench/link_sockets.py
+++ b/bench/link_sockets.py
@@ -1,7 +1,7 @@
-"""What becomes of a process whose links' sockets are closed by one task or by two.
+"""Stability of processes that close a link's socket in the waiting thread or in another.
 
-The links' library ends the process, or never lets a task go, when a wait on a socket begins
-while another task closes it. Each use runs in processes of its own, which may so end.
+The socket library aborts the process, or blocks a thread forever, when a wait on a socket
+starts while another thread closes it. Each use therefore runs in separate processes.
 """
 
 from __future__ import annotations
@@ -15,15 +15,14 @@
 from bench._registry import EXPERIMENTS, Cell, Result, Table
 from fakes.launcher import ROOT
 
-#: Seconds for which each process opens and closes links, and until it counts as not ended.
-_SECONDS: Final = 40
-_LIMIT: Final = _SECONDS + 20
-#: Processes side by side of each use; they are each other's load.
+#: Seconds for which each process opens and closes links, and until it counts as stuck.
+_DURATION: Final = 40
+_TIMEOUT: Final = _DURATION + 20
+#: Concurrent processes of each use.
 _PROCESSES: Final = 4
-#: Processes beside them that only use up processors: the moment is some instructions long, and
-#: on an idle machine none of four processes met it.
-_BUSY: Final = 12
-#: Uses by name, as ``bench._link_churn`` knows them.
+#: Competing processes that keep the CPUs busy, which makes the race more likely.
+_BUSY_PROCESSES: Final = 12
+#: Descriptions by name; the names are arguments of ``bench._link_churn``.
 _USES: Final = {
     "two tasks": "one task waits, another closes",
     "one task": "one task waits and closes, woken by another, as links do",
@@ -32,14 +31,14 @@
 
 @EXPERIMENTS.register("link_sockets")
 def run(seed: int) -> Result:
-    """Open and close links in both ways."""
-    rows: list[list[Cell]] = [[text, *_outcomes(use, seed)] for use, text in _USES.items()]
+    """Compare closing in the waiting thread with closing in another."""
+    rows: list[list[Cell]] = [[text, *_run_processes(use, seed)] for use, text in _USES.items()]
     return Result(
         name="link_sockets",
         method=(
             f"Six clients and a server that comes and goes, {_PROCESSES} processes of each use "
-            f"side by side for {_SECONDS} s, {_BUSY} busy ones beside them. Ended: by a signal "
-            "of the library's own."
+            f"side by side for {_DURATION} s, {_BUSY_PROCESSES} busy ones beside them. Ended: by a "
+            "signal of the library's own."
         ),
         seed=seed,
         tables=[Table("Processes by outcome", ["use", "sound", "ended", "stuck", "links"], rows)],
@@ -47,14 +46,18 @@
     )
 
 
-def _outcomes(use: str, seed: int) -> list[Cell]:
+def _run_processes(use: str, seed: int) -> list[Cell]:
     env = {**os.environ, "PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"}
-    words = [sys.executable, "-m", "bench._link_churn", use, str(_SECONDS)]
-    burn = f"import time\nend = time.monotonic() + {_LIMIT}\nwhile time.monotonic() < end: pass"
-    busy = [subprocess.Popen([sys.executable, "-c", burn]) for _ in range(_BUSY)]
+    command = [sys.executable, "-m", "bench._link_churn", use, str(_DURATION)]
+    busy_loop = (
+        f"import time\nend = time.monotonic() + {_TIMEOUT}\nwhile time.monotonic() < end: pass"
+    )
+    busy_processes = [
+        subprocess.Popen([sys.executable, "-c", busy_loop]) for _ in range(_BUSY_PROCESSES)
+    ]
     running = [
         subprocess.Popen(
-            [*words, str(seed + number)],
+            [*command, str(seed + number)],
             cwd=ROOT,
             env=env,
             stdout=subprocess.PIPE,
@@ -63,22 +66,22 @@
         )
         for number in range(_PROCESSES)
     ]
-    sound, ended, stuck, links = 0, 0, 0, 0
-    until = time.monotonic() + _LIMIT
+    completed, aborted, timed_out, links = 0, 0, 0, 0
+    deadline = time.monotonic() + _TIMEOUT
     for process in running:
         try:
-            output, _ = process.communicate(timeout=max(0.1, until - time.monotonic()))
+            output, _ = process.communicate(timeout=max(0.1, deadline - time.monotonic()))
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
-            stuck += 1
+            timed_out += 1
             continue
         if process.returncode:
-            ended += 1
+            aborted += 1
         else:
-            sound += 1
+            completed += 1
             links += int(output)
-    for burner in busy:
-        burner.kill()
-        burner.wait()
-    return [sound, ended, stuck, links]
+    for busy_process in busy_processes:
+        busy_process.kill()
+        busy_process.wait()
+    return [completed, aborted, timed_out, links]
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,10 +1,8 @@
-"""Where callers lost something, from the logs of direct entries.
+"""Summarises failed and late requests from the logs of direct entries.
 
-``python -m bench losses FILE...`` reads structured log lines, each perhaps after a prefix
-that a collector put before it, and prints tables: by cause, by second and by route. It
-needs nothing but the logs, so what binds at a new site is known some minutes after its
-first day. Causes are those that the entries log: how a request ended, and why a whole
-answer was late.
+``python -m bench losses FILE...`` reads structured log lines, which may have a prefix added
+by a log collector, and prints tables by cause, by second and by route. The causes are those
+that the entries log: how a request ended, and why a complete answer was late.
 """
 
 from __future__ import annotations
@@ -20,67 +18,67 @@
 
 from bench._registry import Cell, Result, Table, render
 
-#: What a request's own line says when its answer was passed on whole.
+#: Log message of a request whose answer was forwarded completely.
 _ANSWERED: Final = "answered"
 _ON_TIME: Final = "on time"
-#: Seconds that one row of the table over time covers.
-_SPAN: Final = 2
-#: Causes shown one by one; rarer ones are put together.
-_CAUSES: Final = 10
+#: Seconds covered by one row of the table by second.
+_SECONDS_PER_ROW: Final = 2
+#: Maximum number of causes shown, most frequent first.
+_MAX_CAUSES: Final = 10
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """A request as its entry logged it at its end."""
+class FinishedRequest:
+    """A finished request as logged by its entry."""
 
-    #: Seconds since the first line.
-    at: float
+    #: Seconds since the first log line.
+    elapsed: float
     route: str
     cause: str
 
 
-def read(lines: Iterable[str]) -> Iterator[Ended]:
-    """Yield the requests that ended; lines that tell of something else are passed over."""
+def read_requests(lines: Iterable[str]) -> Iterator[FinishedRequest]:
+    """Yield the finished requests; other lines are skipped."""
     first: datetime | None = None
     for line in lines:
         record = _parse(line)
         if record is None:
             continue
-        at = datetime.fromisoformat(record["time"])
-        first = first or at
+        time = datetime.fromisoformat(record["time"])
+        first = first or time
         if "tried" in record:
-            seconds = (at - first).total_seconds()
-            yield Ended(seconds, str(record.get("route", "")), _cause(record))
+            seconds = (time - first).total_seconds()
+            yield FinishedRequest(seconds, str(record.get("route", "")), _cause(record))
 
 
-def tabulate(ended: Sequence[Ended]) -> Result:
-    """Return the tables for requests that ended."""
-    counts = Counter(each.cause for each in ended)
-    causes = [cause for cause, _ in counts.most_common(_CAUSES)]
-    total = max(1, len(ended))
+def tabulate(requests: Sequence[FinishedRequest]) -> Result:
+    """Return tables of finished requests by cause, second and route."""
+    counts = Counter(request.cause for request in requests)
+    causes = [cause for cause, _ in counts.most_common(_MAX_CAUSES)]
+    total = max(1, len(requests))
     by_cause: list[list[Cell]] = [[cause, counts[cause], counts[cause] / total] for cause in causes]
     return Result(
         name="losses",
-        method=f"{len(ended)} requests, from the logs of the entries that answered them.",
+        method=f"{len(requests)} requests, from the logs of the entries that answered them.",
         seed=0,
         tables=[
             Table("by cause", ["cause", "requests", "share"], by_cause),
-            _cross("by second", "from second", ended, causes, _second),
-            _cross("by route", "route", ended, causes, _route),
+            _cross_tabulate("by second", "from second", requests, causes, _row_start),
+            _cross_tabulate("by route", "route", requests, causes, _route),
         ],
     )
 
 
 def main(paths: Sequence[str]) -> int:
     """Print the tables for the logs in ``paths``."""
-    ended: list[Ended] = []
+    requests: list[FinishedRequest] = []
     for path in paths:
         with Path(path).open(encoding="utf-8", errors="replace") as file:
-            ended += read(file)
-    if not ended:
-        print("no request ended in these logs")
+            requests += read_requests(file)
+    if not requests:
+        print("no finished requests found in the logs")
         return 1
-    print(render(tabulate(ended)))
+    print(render(tabulate(requests)))
     return 0
 
 
@@ -105,18 +103,23 @@
     return f"{message}: {detail}" if detail else message
 
 
-def _second(each: Ended) -> int:
-    return int(each.at // _SPAN * _SPAN)
+def _row_start(request: FinishedRequest) -> int:
+    return int(request.elapsed // _SECONDS_PER_ROW * _SECONDS_PER_ROW)
 
 
-def _route(each: Ended) -> str:
-    return each.route
+def _route(request: FinishedRequest) -> str:
+    return request.route
 
 
-def _cross(title: str, head: str, ended: Sequence[Ended], causes: list[str], key: Any) -> Table:
-    cells = Counter((key(each), each.cause) for each in ended)
-    rows = [[name, *(cells[name, c] for c in causes)] for name in sorted({k for k, _ in cells})]
-    return Table(title, [head, *causes], rows)
+def _cross_tabulate(
+    title: str, row_header: str, requests: Sequence[FinishedRequest], causes: list[str], key_of: Any
+) -> Table:
+    cell_counts = Counter((key_of(request), request.cause) for request in requests)
+    rows = [
+        [name, *(cell_counts[name, c] for c in causes)]
+        for name in sorted({k for k, _ in cell_counts})
+    ]
+    return Table(title, [row_header, *causes], rows)
 
 
 if __name__ == "__main__":
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""What an entry adds to calling an engine directly, and what each role weighs."""
+"""Measures the latency and CPU time added by an entry, and the memory of each role."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
 _STREAMS: Final = (1, 32, 256)
 _SECONDS: Final = 8
 _TOKENS: Final = 16
-_LOADERS: Final = 4
+_LOAD_PROCESSES: Final = 4
 
 
 @dataclass(frozen=True)
-class Run:
-    """One run of the load."""
+class LoadRun:
+    """Combined measurements of one load run."""
 
-    first_ms: list[float]
-    between_ms: list[float]
-    requests_a_second: float
-    tokens_a_second: float
+    first_token_ms: list[float]
+    inter_token_ms: list[float]
+    requests_per_second: float
+    tokens_per_second: float
     failed: int
-    done: int
-
-
-def run_load(address: str, path: str, streams: int, seed: int, seconds: int = _SECONDS) -> Run:
-    """Load ``address`` from up to four processes and return what they saw together."""
-    loaders = min(_LOADERS, streams)
-    children = []
-    for index in range(loaders):
-        part = streams // loaders
-        words = [address, path, _TOKEN, str(part), str(seconds), str(_TOKENS)]
-        command = [sys.executable, "-m", "bench.load", *words, str(seed + 1_000 * index)]
-        children.append(subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE))
-    parts: list[dict[str, Any]] = [json.loads(child.communicate()[0]) for child in children]
-    took = max(part["seconds"] for part in parts)
-    return Run(
-        first_ms=[v for part in parts for v in part["first_ms"]],
-        between_ms=[v for part in parts for v in part["between_ms"]],
-        requests_a_second=sum(part["done"] for part in parts) / took,
-        tokens_a_second=sum(part["tokens"] for part in parts) / took,
+    completed: int
+
+
+def run_load(address: str, path: str, streams: int, seed: int, seconds: int = _SECONDS) -> LoadRun:
+    """Load ``address`` from up to four processes and return their combined measurements."""
+    process_count = min(_LOAD_PROCESSES, streams)
+    processes = []
+    for index in range(process_count):
+        part = streams // process_count
+        arguments = [address, path, _TOKEN, str(part), str(seconds), str(_TOKENS)]
+        command = [sys.executable, "-m", "bench.load", *arguments, str(seed + 1_000 * index)]
+        processes.append(subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE))
+    parts: list[dict[str, Any]] = [json.loads(process.communicate()[0]) for process in processes]
+    elapsed = max(part["seconds"] for part in parts)
+    return LoadRun(
+        first_token_ms=[v for part in parts for v in part["first_ms"]],
+        inter_token_ms=[v for part in parts for v in part["between_ms"]],
+        requests_per_second=sum(part["done"] for part in parts) / elapsed,
+        tokens_per_second=sum(part["tokens"] for part in parts) / elapsed,
         failed=sum(part["failed"] for part in parts),
-        done=sum(part["done"] for part in parts),
+        completed=sum(part["done"] for part in parts),
     )
 
 
 def one_engine_fleet(token_ms: float = 20.0) -> FleetSpec:
-    """Return one entry, one engine without a group, one plain service."""
+    """Return a fleet of one entry, one engine without a group and one plain service."""
     return FleetSpec(
         ["nbo-a"],
         1,
@@ -71,7 +71,7 @@
 
 
 def configure(fleet: Fleet) -> None:
-    """Apply a configuration that fits :func:`one_engine_fleet`."""
+    """Apply a configuration for :func:`one_engine_fleet`."""
     content = {
         "services": {
             "ink": {
@@ -104,7 +104,7 @@
 
 @EXPERIMENTS.register("overhead")
 def overhead(seed: int) -> Result:
-    """Measure one entry against calling its engine directly, at three widths."""
+    """Compare calls through one entry with direct calls, at three numbers of streams."""
     rows: list[list[Cell]] = []
     memory: list[list[Cell]] = []
     with Fleet(one_engine_fleet()) as fleet:
@@ -117,9 +117,9 @@
         for streams in _STREAMS:
             direct = run_load(fleet.ports.backends["ink-1"], "/generate", streams, seed)
             before = {name: cpu_seconds(fleet.pid(name)) for name in (entry, "ink-1")}
-            through = run_load(fleet.ports.entries[entry], "/ink/generate", streams, seed)
+            via_entry = run_load(fleet.ports.entries[entry], "/ink/generate", streams, seed)
             used = {name: cpu_seconds(fleet.pid(name)) - before[name] for name in before}
-            rows.append(_row(streams, direct, through, used[entry], used["ink-1"]))
+            rows.append(_row(streams, direct, via_entry, used[entry], used["ink-1"]))
         memory = [[role, idle[role], resident_mb(fleet.pid(name))] for role, name in roles.items()]
     columns = [
         "streams",
@@ -150,23 +150,25 @@
 
 
 def _row(
-    streams: int, direct: Run, through: Run, entry_cpu: float, target_cpu: float
+    streams: int, direct: LoadRun, via_entry: LoadRun, entry_cpu: float, target_cpu: float
 ) -> list[Cell]:
     def added(fraction: float) -> float:
-        return quantile(through.first_ms, fraction) - quantile(direct.first_ms, fraction)
+        return quantile(via_entry.first_token_ms, fraction) - quantile(
+            direct.first_token_ms, fraction
+        )
 
-    between = quantile(direct.between_ms, 0.99)
-    done = max(1, through.done)
+    inter_token_p99 = quantile(direct.inter_token_ms, 0.99)
+    completed = max(1, via_entry.completed)
     return [
         streams,
-        quantile(direct.first_ms, 0.5),
+        quantile(direct.first_token_ms, 0.5),
         added(0.5),
         added(0.99),
-        between,
-        quantile(through.between_ms, 0.99) - between,
-        direct.requests_a_second,
-        through.requests_a_second,
-        entry_cpu * 1_000 / done,
-        target_cpu * 1_000 / done,
-        through.failed,
+        inter_token_p99,
+        quantile(via_entry.inter_token_ms, 0.99) - inter_token_p99,
+        direct.requests_per_second,
+        via_entry.requests_per_second,
+        entry_cpu * 1_000 / completed,
+        target_cpu * 1_000 / completed,
+        via_entry.failed,
     ]
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,4 +1,4 @@
-"""Routing, limits and overload: our choice against baselines, decisions only."""
+"""Compares the routing policy with baselines under load, overload and faults, by simulation."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from bench._process import quantile
 from bench._registry import EXPERIMENTS, Cell, Result, Table
-from bench._routing_world import Tally, World, WorldSpec, single_queue
+from bench._routing_world import RequestStats, Simulation, SimulationSpec, run_shared_queue
 
-#: Requests a second that 16 targets of 8 slots can serve, at 440 ms each.
+#: Requests per second that 16 targets of 8 slots can serve, at 440 ms each.
 CAPACITY: Final = 16 * 8 / 0.440
 _LOADS: Final = (0.5, 0.9, 2.0)
-#: Ways compared: name in the table, ranker, whether answers carry the load, lines.
-WAYS: Final = (
+#: Compared variants: name, ranker, whether answers carry the load, maximum queues.
+VARIANTS: Final = (
     ("random", "random", False, 1),
     ("round robin", "round_robin", False, 1),
     ("least reported", "least_reported", False, 1),
@@ -23,64 +23,70 @@
     ("the same, load on answers", "two_choices", True, 1),
     ("ours: and four lines", "two_choices", True, 4),
 )
-_OURS: Final = WAYS[-1][0]
+_DEFAULT_VARIANT: Final = VARIANTS[-1][0]
 _COLUMNS: Final = ["way", "load", "p50 ms", "p99 ms", "goodput/s", "refused %"]
 
 
-def total(world: World) -> Tally:
-    """Return the tallies of all organisations together."""
-    tallies = list(world.tallies.values())
-    return Tally(
-        first=[v for t in tallies for v in t.first],
-        good=sum(t.good for t in tallies),
-        late=sum(t.late for t in tallies),
-        refused=sum(t.refused for t in tallies),
-        hits=sum(t.hits for t in tallies),
-        misses=sum(t.misses for t in tallies),
+def combined_stats(simulation: Simulation) -> RequestStats:
+    """Return the statistics of all organisations combined."""
+    stats = list(simulation.stats.values())
+    return RequestStats(
+        first_token_ms=[v for t in stats for v in t.first_token_ms],
+        on_time=sum(t.on_time for t in stats),
+        late=sum(t.late for t in stats),
+        refused=sum(t.refused for t in stats),
+        hits=sum(t.hits for t in stats),
+        misses=sum(t.misses for t in stats),
     )
 
 
-def row(name: str, load: Cell, tally: Tally, spec: WorldSpec) -> list[Cell]:
-    """Return one line of the table."""
-    counted = spec.seconds - spec.warmup / 1_000
+def summary_row(name: str, load: Cell, counts: RequestStats, spec: SimulationSpec) -> list[Cell]:
+    """Return a table row."""
+    counted_seconds = spec.seconds - spec.warmup / 1_000
     return [
         name,
         load,
-        quantile(tally.first, 0.5),
-        quantile(tally.first, 0.99),
-        tally.good / counted,
-        100 * tally.refused / max(1, tally.total),
+        quantile(counts.first_token_ms, 0.5),
+        quantile(counts.first_token_ms, 0.99),
+        counts.on_time / counted_seconds,
+        100 * counts.refused / max(1, counts.total),
     ]
 
 
-def spec_at(
-    load: float, seed: int, ranker: str = "two_choices", piggyback: bool = True, places: int = 4
-) -> WorldSpec:
-    """Return the usual world at a part of capacity, with ten organisations."""
+def spec_for_load(
+    load: float,
+    seed: int,
+    ranker: str = "two_choices",
+    is_load_piggybacked: bool = True,
+    max_queues: int = 4,
+) -> SimulationSpec:
+    """Return the default specification at a fraction of capacity, with ten organisations."""
     rates = {f"org-{i}": load * CAPACITY / 10 for i in range(10)}
-    return WorldSpec(ranker, piggyback, rates, seed, places=places)
+    return SimulationSpec(ranker, is_load_piggybacked, rates, seed, max_queues=max_queues)
 
 
 @EXPERIMENTS.register("routing")
 def routing(seed: int) -> Result:
-    """Compare the ways at three loads, and with one slow, dead or flapping engine."""
+    """Compare the variants at three loads, and with one slow, dead or flapping engine."""
     rows: list[list[Cell]] = []
     p99: dict[tuple[str, float], float] = {}
     goodput: dict[tuple[str, float], float] = {}
     for load in (*_LOADS, 1.0):
-        ideal_spec = spec_at(load, seed)
-        ideal = total(single_queue(ideal_spec))
-        rows.append(row("one queue that sees all", load, ideal, ideal_spec))
-        p99["ideal", load] = quantile(ideal.first, 0.99)
-        for name, ranker, piggyback, places in WAYS if load in _LOADS else WAYS[-1:]:
-            spec = spec_at(load, seed, ranker, piggyback, places)
-            tally = total(World(spec).run())
-            rows.append(row(name, load, tally, spec))
-            p99[name, load] = quantile(tally.first, 0.99)
-            goodput[name, load] = tally.good
+        ideal_spec = spec_for_load(load, seed)
+        ideal = combined_stats(run_shared_queue(ideal_spec))
+        rows.append(summary_row("one queue that sees all", load, ideal, ideal_spec))
+        p99["ideal", load] = quantile(ideal.first_token_ms, 0.99)
+        for name, ranker, is_load_piggybacked, max_queues in (
+            VARIANTS if load in _LOADS else VARIANTS[-1:]
+        ):
+            spec = spec_for_load(load, seed, ranker, is_load_piggybacked, max_queues)
+            counts = combined_stats(Simulation(spec).run())
+            rows.append(summary_row(name, load, counts, spec))
+            p99[name, load] = quantile(counts.first_token_ms, 0.99)
+            goodput[name, load] = counts.on_time
     faults, findings = _faults(seed)
-    ratio = p99[_OURS, 0.9] / p99["ideal", 0.9]
-    kept = goodput[_OURS, 2.0] / goodput[_OURS, 1.0]
+    p99_ratio = p99[_DEFAULT_VARIANT, 0.9] / p99["ideal", 0.9]
+    goodput_ratio = goodput[_DEFAULT_VARIANT, 2.0] / goodput[_DEFAULT_VARIANT, 1.0]
     return Result(
         name="routing",
         method=(
@@ -94,10 +100,10 @@
         seed=seed,
         tables=[Table("Time to first token and goodput", _COLUMNS, rows), faults],
         findings=[
-            f"p99 at 90%: {ratio:.2f} of one queue that sees all (goal 1.3: "
-            f"{'met' if ratio <= 1.3 else 'missed'})",
-            f"goodput at 200%: {100 * kept:.0f}% of that at 100% (goal 95%: "
-            f"{'met' if kept >= 0.95 else 'missed'})",
+            f"p99 at 90%: {p99_ratio:.2f} of one queue that sees all (goal 1.3: "
+            f"{'met' if p99_ratio <= 1.3 else 'missed'})",
+            f"goodput at 200%: {100 * goodput_ratio:.0f}% of that at 100% (goal 95%: "
+            f"{'met' if goodput_ratio >= 0.95 else 'missed'})",
             *findings,
         ],
     )
@@ -106,21 +112,29 @@
 def _faults(seed: int) -> tuple[Table, list[str]]:
     rows: list[list[Cell]] = []
     findings = []
-    flaps = [(float(t), float(t + 1_000)) for t in range(10_000, 60_000, 4_000)]
+    outages = [(float(t), float(t + 1_000)) for t in range(10_000, 60_000, 4_000)]
     cases = {
         "one slow (x5)": {"slow": {0: 5.0}},
         "one dead": {"dead": {0: [(10_000.0, 1e9)]}},
-        "one flapping": {"dead": {0: flaps}},
+        "one flapping": {"dead": {0: outages}},
     }
     for case, change in cases.items():
-        for name, ranker, piggyback, places in WAYS:
-            spec = replace(spec_at(0.7, seed, ranker, piggyback, places), **change)  # type: ignore[arg-type]
-            world = World(spec).run()
-            rows.append([case, *row(name, 0.7, total(world), spec), max(world.dead_tries)])
-            if case == "one dead" and name == _OURS:
+        for name, ranker, is_load_piggybacked, max_queues in VARIANTS:
+            spec = replace(
+                spec_for_load(0.7, seed, ranker, is_load_piggybacked, max_queues), **change
+            )  # type: ignore[arg-type]
+            simulation = Simulation(spec).run()
+            rows.append(
+                [
+                    case,
+                    *summary_row(name, 0.7, combined_stats(simulation), spec),
+                    max(simulation.dead_attempts),
+                ]
+            )
+            if case == "one dead" and name == _DEFAULT_VARIANT:
                 findings.append(
-                    f"a dead engine cost at most {max(world.dead_tries)} tries an entry in 50 s, "
-                    "probes included"
+                    f"a dead engine cost at most {max(simulation.dead_attempts)} tries an entry "
+                    "in 50 s, probes included"
                 )
     columns = ["fault", *_COLUMNS, "tries at a dead one, most by an entry"]
     return Table("One bad engine of 16, at 70%", columns, rows), findings
@@ -128,39 +142,43 @@
 
 @EXPERIMENTS.register("fairness")
 def fairness(seed: int) -> Result:
-    """One organisation sends ten times its share; what the others notice."""
+    """Measure the impact on others when one organisation sends ten times its share."""
     rows: list[list[Cell]] = []
     findings = []
     for load in (0.5, 0.8):
         share = load * CAPACITY / 10
         others = {f"org-{i}": share for i in range(1, 10)}
-        worlds = {
-            "alone": World(replace(spec_at(load, seed), rates=others)).run(),
-            "with a flood": World(
-                replace(spec_at(load, seed), rates={**others, "flood": 10 * share})
+        simulations = {
+            "alone": Simulation(replace(spec_for_load(load, seed), rates=others)).run(),
+            "with a flood": Simulation(
+                replace(spec_for_load(load, seed), rates={**others, "flood": 10 * share})
             ).run(),
         }
         p99 = {}
-        for name, world in worlds.items():
-            tallies = [t for n, t in world.tallies.items() if n != "flood"]
-            first = [v for t in tallies for v in t.first]
-            refused = sum(t.refused for t in tallies)
-            p99[name] = quantile(first, 0.99)
-            count = max(1, sum(t.total for t in tallies))
-            rows.append([load, name, quantile(first, 0.5), p99[name], 100 * refused / count])
-        flood = worlds["with a flood"].tallies["flood"]
+        for name, simulation in simulations.items():
+            stats = [t for n, t in simulation.stats.items() if n != "flood"]
+            first_token_ms = [v for t in stats for v in t.first_token_ms]
+            refused = sum(t.refused for t in stats)
+            p99[name] = quantile(first_token_ms, 0.99)
+            count = max(1, sum(t.total for t in stats))
+            rows.append(
+                [load, name, quantile(first_token_ms, 0.5), p99[name], 100 * refused / count]
+            )
+        flood = simulations["with a flood"].stats["flood"]
         rows.append(
             [
                 load,
                 "the flood itself",
-                quantile(flood.first, 0.5),
-                quantile(flood.first, 0.99),
+                quantile(flood.first_token_ms, 0.5),
+                quantile(flood.first_token_ms, 0.99),
                 100 * flood.refused / max(1, flood.total),
             ]
         )
-        ratio = p99["with a flood"] / p99["alone"]
-        met = "met" if ratio <= 1.1 else "missed"
-        findings.append(f"others' p99 at {load:.0%}: {ratio:.2f} of alone (goal 1.1: {met})")
+        p99_ratio = p99["with a flood"] / p99["alone"]
+        verdict = "met" if p99_ratio <= 1.1 else "missed"
+        findings.append(
+            f"others' p99 at {load:.0%}: {p99_ratio:.2f} of alone (goal 1.1: {verdict})"
+        )
     columns = ["load without the flood", "organisations", "p50 ms", "p99 ms", "refused %"]
     return Result(
         name="fairness",
@@ -176,12 +194,12 @@
 
 @EXPERIMENTS.register("affinity")
 def affinity(seed: int) -> Result:
-    """Prefix-cache affinity against ignoring it, with late and lost events."""
+    """Compare routing with and without prefix-cache affinity, with late and lost events."""
     rows: list[list[Cell]] = []
     for load in (0.5, 0.9):
         for name, on, lost in _affinity_cases():
             spec = replace(
-                spec_at(load, seed),
+                spec_for_load(load, seed),
                 prefixes=400,
                 cache=60,
                 affinity=on,
@@ -189,9 +207,9 @@
                 duration=300.0,
                 prefill=20.0,
             )
-            tally = total(World(spec).run())
-            hits = 100 * tally.hits / max(1, tally.hits + tally.misses)
-            rows.append([name, *row("", load, tally, spec)[1:], hits])
+            counts = combined_stats(Simulation(spec).run())
+            hits = 100 * counts.hits / max(1, counts.hits + counts.misses)
+            rows.append([name, *summary_row("", load, counts, spec)[1:], hits])
     columns = ["way", *_COLUMNS[1:], "hits %"]
     return Result(
         name="affinity",
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""What each further peer, engine, organisation, expert and key costs; for CAPACITY.md."""
+"""Marginal costs per peer, engine, organisation, expert and key, used in CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
 _EXPERTS: Final = (16, 64, 128, 256)
 
 
-def fit(points: Sequence[tuple[float, float]]) -> tuple[float, float, float]:
-    """Return slope, intercept and the largest error of a straight line, least squares."""
+def fit_line(points: Sequence[tuple[float, float]]) -> tuple[float, float, float]:
+    """Return the slope, intercept and largest residual of a least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    variance_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / variance_sum
     intercept = mean_y - slope * mean_x
     return slope, intercept, max(abs(y - intercept - slope * x) for x, y in points)
 
 
-def row(name: str, unit: str, points: Sequence[tuple[float, float]]) -> list[Cell]:
-    """Return one line: the points, the slope and how well it fits."""
-    slope, intercept, error = fit(points)
-    shown = ", ".join(f"{x:g}: {y:.3g}" for x, y in points)
-    return [name, unit, shown, slope, intercept, error]
+def slope_row(name: str, unit: str, points: Sequence[tuple[float, float]]) -> list[Cell]:
+    """Return a table row with the points, the fitted line and its largest residual."""
+    slope, intercept, residual = fit_line(points)
+    point_list = ", ".join(f"{x:g}: {y:.3g}" for x, y in points)
+    return [name, unit, point_list, slope, intercept, residual]
 
 
 def link_costs() -> tuple[list[tuple[float, float]], list[tuple[float, float]]]:
-    """Return memory in MB and processor time in % of a core of an idle entry, by links."""
+    """Return memory (MB) and CPU time (% of a core) of an idle entry, by number of links."""
     memory, cpu = [], []
     for links in _LINKS:
         with Fleet(FleetSpec(["nbo-a"], 1, [], log_level="warning")) as fleet:
@@ -65,7 +65,7 @@
             addresses = [free_address() for _ in range(links)]
             env = {**os.environ, "PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"}
             command = [sys.executable, "-m", "fakes.targets", LINK_KEY, *addresses]
-            child = subprocess.Popen(command, cwd=ROOT, env=env)
+            process = subprocess.Popen(command, cwd=ROOT, env=env)
             try:
                 for index, address in enumerate(addresses):
                     fleet.list_instance(f"t-{index}", "target", "nbo-a", address)
@@ -80,13 +80,13 @@
                 cpu.append((float(links), 100 * (cpu_seconds(pid) - before) / _IDLE_SECONDS))
                 memory.append((float(links), resident_mb(pid)))
             finally:
-                child.kill()
-                child.wait()
+                process.kill()
+                process.wait()
     return memory, cpu
 
 
 def configuration(engines: int, organisations: int) -> FileModel:
-    """Return a configuration of so many engines and organisations."""
+    """Return a configuration with the given numbers of engines and organisations."""
     content: dict[str, Any] = {
         "services": {f"model-{i}": {"kind": "model"} for i in range(14)},
         "engines": {
@@ -101,46 +101,46 @@
 
 
 def measure_memory(make: Callable[[], object]) -> float:
-    """Return the megabytes that what ``make`` returns takes."""
+    """Return the memory used by the result of ``make``, in megabytes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    retained = make()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return (after - before) / 1e6
 
 
-def adopt(model: FileModel) -> tuple[float, float, float]:
-    """Return the bytes (MB) of a file, memory (MB) and seconds to put it in force."""
+def measure_configuration(model: FileModel) -> tuple[float, float, float]:
+    """Return the encoded size (MB), memory (MB) and CPU seconds of parsing a file."""
     data = encode_file(model)
     digest = digest_of(data)
     root = msgspec.json.encode({"generation": 1, "files": {"f": digest}})
     snapshot = Snapshot(root, {digest: data})
-    began = time.process_time()
+    start_time = time.process_time()
     snapshot.parse()
-    took = time.process_time() - began
-    return len(data) / 1e6, measure_memory(snapshot.parse), took
+    elapsed = time.process_time() - start_time
+    return len(data) / 1e6, measure_memory(snapshot.parse), elapsed
 
 
-def key_memory(count: int) -> IdempotencyCache:
-    """Return a memory of so many finished keys without answers."""
+def build_key_cache(count: int) -> IdempotencyCache:
+    """Return a cache of ``count`` finished keys without stored answers."""
     rng = random.Random(1)
-    memory = IdempotencyCache()
+    cache = IdempotencyCache()
     for number in range(count):
         name = f"org/{new_key(number, rng)}"
-        memory.begin(name, number, rng.randbytes(16), None)
-        memory.finish(name, 0)
-    return memory
+        cache.begin(name, number, rng.randbytes(16), None)
+        cache.finish(name, 0)
+    return cache
 
 
-def map_bytes(experts: int) -> float:
-    """Return the megabytes of one order that prepares a map of 60 layers on 64 ranks."""
+def prepare_order_mb(experts: int) -> float:
+    """Return the size in megabytes of a prepare order for 60 layers on 64 ranks."""
     mapping = initial_map(tuple(range(64)), experts, 60)
     replicas = [
         ExpertReplica(layer, expert, rank)
-        for layer, row_of in enumerate(mapping.layers)
-        for expert, ranks in enumerate(row_of)
+        for layer, expert_ranks in enumerate(mapping.layers)
+        for expert, ranks in enumerate(expert_ranks)
         for rank in ranks
     ]
     order = GroupOrder(
@@ -157,63 +157,63 @@
 
 
 def plan_seconds(experts: int) -> float:
-    """Return the processor seconds of one plan of 60 layers on 64 ranks."""
+    """Return the CPU seconds to plan 60 layers on 64 ranks."""
     rng = random.Random(1)
     loads = [[rng.lognormvariate(4.0, 0.7) for _ in range(experts)] for _ in range(60)]
     ranks = tuple(range(64))
     start = initial_map(ranks, experts, 60)
-    began = time.process_time()
+    start_time = time.process_time()
     plan_map(start, loads, ranks, max(2, experts // 64 + 2), POLICIES["skew-first"])
-    return time.process_time() - began
+    return time.process_time() - start_time
 
 
 @EXPERIMENTS.register("slopes")
 def slopes(seed: int) -> Result:
-    """Measure the slopes that CAPACITY.md works with."""
+    """Measure the slopes used in CAPACITY.md."""
     rows: list[list[Cell]] = []
     memory, cpu = link_costs()
-    rows.append(row("entry: memory by links", "MB a link", memory))
-    rows.append(row("entry: idle processor time by links", "% of a core a link", cpu))
-    by_engines = [(float(n), adopt(configuration(n, 100))) for n in _ENGINES]
-    by_orgs = [(float(n), adopt(configuration(500, n))) for n in _ORGANISATIONS]
+    rows.append(slope_row("entry: memory by links", "MB a link", memory))
+    rows.append(slope_row("entry: idle processor time by links", "% of a core a link", cpu))
+    by_engines = [(float(n), measure_configuration(configuration(n, 100))) for n in _ENGINES]
+    by_orgs = [(float(n), measure_configuration(configuration(500, n))) for n in _ORGANISATIONS]
     for name, points in (("engine", by_engines), ("organisation", by_orgs)):
         rows.append(
-            row(
+            slope_row(
                 f"configuration: bytes by {name}s",
                 f"MB each {name}",
                 [(x, y[0]) for x, y in points],
             )
         )
         rows.append(
-            row(
+            slope_row(
                 f"configuration: memory by {name}s",
                 f"MB each {name}",
                 [(x, y[1]) for x, y in points],
             )
         )
         rows.append(
-            row(
+            slope_row(
                 f"configuration: time to adopt by {name}s",
                 f"s each {name}",
                 [(x, y[2]) for x, y in points],
             )
         )
     rows.append(
-        row(
+        slope_row(
             "target: memory by keys remembered",
             "MB a key",
-            [(float(n), measure_memory(partial(key_memory, n))) for n in _KEYS],
+            [(float(n), measure_memory(partial(build_key_cache, n))) for n in _KEYS],
         )
     )
     rows.append(
-        row(
+        slope_row(
             "map owner: bytes of one prepare by experts, 64 ranks x 60 layers",
             "MB an expert",
-            [(float(n), map_bytes(n)) for n in _EXPERTS],
+            [(float(n), prepare_order_mb(n)) for n in _EXPERTS],
         )
     )
     rows.append(
-        row(
+        slope_row(
             "map owner: time of a plan by experts, 64 ranks x 60 layers",
             "s an expert",
             [(float(n), plan_seconds(n)) for n in _EXPERTS],
--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet on loopback that shows what canvasyoke does while things fail."""
+"""Demonstration of a small fleet on loopback under failures."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -13,17 +13,17 @@
 import yaml
 
 from demo._load import Load, LoadSpec
-from demo._report import judge, print_report
+from demo._report import check_invariants, print_report
 from fakes.launcher import Fleet, FleetSpec, TargetSpec, wait_until
 
-_HERE: Final = Path(__file__).resolve().parent
-#: Requests that callers bring to an end in each phase.
-_PHASE: Final = 150
+_DIRECTORY: Final = Path(__file__).resolve().parent
+#: Requests finished in each phase of the demo.
+_REQUESTS_PER_PHASE: Final = 150
 
 
 @dataclass(frozen=True)
 class DemoFleet:
-    """What differs between the two fleets."""
+    """Names that differ between the example fleets."""
 
     domains: tuple[str, str]
     model_service: str
@@ -51,7 +51,7 @@
 
 
 def fleet_spec(demo: DemoFleet) -> FleetSpec:
-    """Return the processes of one fleet: 4 engines, 2 plain, 2 entries a domain."""
+    """Return a fleet with 4 engines, 2 plain services and 2 entries per domain."""
     engines = [
         TargetSpec(
             f"{demo.model_service}-{i + 1}",
@@ -72,48 +72,51 @@
 
 
 def main(name: str) -> int:
-    """Run one fleet through the demo; 1 when an invariant was broken."""
+    """Run the demo with one fleet; return 1 if an invariant was violated."""
     demo = FLEETS[name]
-    files = [_HERE / f"{name}.yaml", _HERE / f"{name}-organisations.yaml"]
-    began = time.monotonic()
+    files = [_DIRECTORY / f"{name}.yaml", _DIRECTORY / f"{name}-organisations.yaml"]
+    start_time = time.monotonic()
 
-    def say(text: str) -> None:
-        print(f"[{time.monotonic() - began:6.1f} s] {text}", flush=True)
+    def log(text: str) -> None:
+        print(f"[{time.monotonic() - start_time:6.1f} s] {text}", flush=True)
 
     with Fleet(fleet_spec(demo)) as fleet:
-        say(f"starting {name}: 4 engines, 2 plain services, 4 entries, platform stand-in")
+        log(f"starting {name}: 4 engines, 2 plain services, 4 entries, platform stand-in")
         fleet.start()
         generation = fleet.apply(files, 0)
         fleet.wait_ready(generation)
-        say(f"generation {generation} is in force everywhere")
+        log(f"generation {generation} is active on all instances")
         load = Load(_load_spec(demo, fleet))
         load.start()
-        _wait_for_requests(load, _PHASE)
-        say(f"{load.done} requests done; killing an engine's process")
-        victim = fleet.spec.targets[2].name
-        early_ledger = _step_ledger(fleet, victim)
-        fleet.kill(f"{victim}-backend")
-        _wait_for_requests(load, _PHASE)
+        _wait_for_requests(load, _REQUESTS_PER_PHASE)
+        log(f"{load.finished} requests finished; killing an engine process")
+        failed_engine = fleet.spec.targets[2].name
+        ledger_before_failure = _step_ledger(fleet, failed_engine)
+        fleet.kill(f"{failed_engine}-backend")
+        _wait_for_requests(load, _REQUESTS_PER_PHASE)
         wait_until(lambda: _ranks_on_map(fleet) == 3, "the group goes on with three ranks")
-        say(f"{load.done} requests done; the group goes on with three ranks; replacing a file")
+        log(f"{load.finished} requests finished; group runs on three ranks; replacing a file")
         generation = fleet.apply([_changed_file(fleet, files[1])], generation)
         wait_until(lambda: fleet.in_force_everywhere(generation), "in force everywhere")
-        say(f"generation {generation} is in force everywhere; the engine comes back")
-        fleet.start_backend(victim)
+        log(f"generation {generation} is active on all instances; restarting the engine")
+        fleet.start_backend(failed_engine)
         wait_until(lambda: _ranks_on_map(fleet) == 4, "the rank is back on the map")
-        say("the rank is back on the map; stopping a target and an entry as planned")
-        _planned_stops(fleet, demo, load)
-        _wait_for_requests(load, _PHASE)
+        log("rank restored to the map; restarting a target and stopping an entry")
+        _perform_planned_stops(fleet, demo, load)
+        _wait_for_requests(load, _REQUESTS_PER_PHASE)
         load.stop()
-        say(f"{load.done} requests done")
-        ledgers = [early_ledger, *(_step_ledger(fleet, t.name) for t in fleet.spec.targets[:4])]
-        verdict = judge(fleet, load.result, ledgers)
+        log(f"{load.finished} requests finished")
+        ledgers = [
+            ledger_before_failure,
+            *(_step_ledger(fleet, t.name) for t in fleet.spec.targets[:4]),
+        ]
+        violations = check_invariants(fleet, load.result, ledgers)
         statuses = {e: fleet.status(e) for e in fleet.ports.entries if fleet.status(e)}
-        print_report(fleet, load.result, verdict, statuses)
+        print_report(fleet, load.result, violations, statuses)
         print("audit trail")
         print(fleet.command("audit", "--platform", fleet.ports.platform)[1])
-    say("an invariant was BROKEN" if verdict.broken else "all invariants held")
-    return 1 if verdict.broken else 0
+    log("an invariant was VIOLATED" if violations.has_any else "all invariants held")
+    return 1 if violations.has_any else 0
 
 
 def _load_spec(demo: DemoFleet, fleet: Fleet) -> LoadSpec:
@@ -127,12 +130,12 @@
 
 
 def _wait_for_requests(load: Load, count: int) -> None:
-    goal = load.done + count
-    wait_until(lambda: load.done >= goal, f"{count} more requests", 60)
+    goal = load.finished + count
+    wait_until(lambda: load.finished >= goal, f"{count} more requests", 60)
 
 
 def _ranks_on_map(fleet: Fleet) -> int:
-    """Return the ranks whose engine is up and on the newest map."""
+    """Return the number of ranks that are healthy and on the current map."""
     for entry in fleet.ports.entries:
         status = fleet.status(entry)
         if not status:
@@ -148,7 +151,7 @@
 
 
 def _changed_file(fleet: Fleet, path: Path) -> Path:
-    """Write the file with one organisation's share doubled, under the same name."""
+    """Write a copy of the file with the first organisation's share doubled."""
     content = yaml.safe_load(path.read_text())
     first = next(iter(content["organisations"].values()))
     first["share"] *= 2
@@ -157,26 +160,26 @@
     return changed
 
 
-def _planned_stops(fleet: Fleet, demo: DemoFleet, load: Load) -> None:
-    """Stop one target and start it again, as a rolling restart would."""
+def _perform_planned_stops(fleet: Fleet, demo: DemoFleet, load: Load) -> None:
+    """Restart one target as in a rolling restart, then drain and stop one entry."""
     name = f"{demo.plain_service}-1"
     fleet.terminate(name)
     code = fleet.wait(name)
     if code:
-        raise SystemExit(f"{name} ended with {code}")
+        raise SystemExit(f"{name} exited with status {code}")
     fleet.start_target(name)
     entry = f"{demo.domains[0]}-entry-1"
     fleet.list_instance(entry, "entry", demo.domains[0], fleet.ports.admin[entry], "leaving")
-    _leave_balancer(fleet, load, entry)
+    _drain_entry(fleet, load, entry)
 
 
-def _leave_balancer(fleet: Fleet, load: Load, entry: str) -> None:
-    """Stop an entry the way the platform's balancer does: no new callers, then SIGTERM."""
-    load.avoid(fleet.ports.entries[entry])
+def _drain_entry(fleet: Fleet, load: Load, entry: str) -> None:
+    """Stop sending requests to an entry, then terminate it, as the platform's balancer does."""
+    load.exclude_entry(fleet.ports.entries[entry])
     fleet.terminate(entry)
     code = fleet.wait(entry)
     if code:
-        raise SystemExit(f"{entry} ended with {code}")
+        raise SystemExit(f"{entry} exited with status {code}")
 
 
 if __name__ == "__main__":
--- a/demo/_load.py
+++ b/demo/_load.py
@@ -1,4 +1,4 @@
-"""A seeded mix of streamed generations and keyed saves, from a library HTTP client."""
+"""Generates a seeded mix of streamed generations and keyed saves over HTTP."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from canvasyoke.protocol import new_key
 from fakes.engine import make_tokens
 
-#: Tries a caller makes at one keyed save, the first included.
-_SAVE_TRIES: Final = 6
+#: Maximum attempts of a keyed save, including the first.
+_MAX_SAVE_ATTEMPTS: Final = 6
 _TIMEOUT: Final = urllib3.Timeout(connect=2.0, read=12.0)
 
 
 @dataclass(frozen=True)
 class LoadSpec:
-    """What callers do."""
+    """Parameters of the load."""
 
-    #: Addresses of the entries, of which each request takes one at random.
+    #: Addresses of the entries; each request selects one at random.
     entries: Sequence[str]
     tokens: Sequence[str]
     model_service: str
@@ -33,31 +33,31 @@
     save_path: str
     callers: int = 12
     seed: int = 1
-    #: Part of the requests that are saves.
+    #: Fraction of requests that are saves.
     save_share: float = 0.4
     max_tokens: int = 24
-    #: Longest pause of a caller between requests, in seconds.
-    think: float = 0.15
+    #: Maximum pause between requests of a caller, in seconds.
+    max_pause: float = 0.15
 
 
 @dataclass
 class LoadResult:
-    """What callers saw; guarded by ``lock``."""
+    """Measurements of all callers; guarded by ``lock``."""
 
     lock: threading.Lock = field(default_factory=threading.Lock)
-    #: Final outcome of each request, by kind of request.
+    #: Number of requests by kind and final outcome.
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
-    #: Answers that were not the whole answer to the request.
-    wrong: list[str] = field(default_factory=list)
-    #: Keys of saves that were answered, of those finally not run, and unknown.
+    #: Descriptions of incomplete or incorrect answers.
+    wrong_answers: list[str] = field(default_factory=list)
+    #: Final outcome of each save, by key.
     saves: dict[str, str] = field(default_factory=dict)
-    first_ms: list[float] = field(default_factory=list)
-    between_ms: list[float] = field(default_factory=list)
+    first_token_ms: list[float] = field(default_factory=list)
+    inter_token_ms: list[float] = field(default_factory=list)
 
 
 class Load:
-    """Callers on threads of their own, until stopped."""
+    """Callers that run in threads until stopped."""
 
     def __init__(self, spec: LoadSpec) -> None:
         self.result = LoadResult()
@@ -76,18 +76,18 @@
             thread.start()
 
     def stop(self) -> None:
-        """Let every caller finish its request, then end."""
+        """Stop all callers once their requests finish."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
-    def avoid(self, entry: str) -> None:
-        """Send nothing new to ``entry``, as a balancer does with one that is not ready."""
+    def exclude_entry(self, entry: str) -> None:
+        """Stop sending new requests to ``entry``, like a balancer when an entry is not ready."""
         self._entries = [address for address in self._entries if address != entry]
 
     @property
-    def done(self) -> int:
-        """Return the requests that have come to an end."""
+    def finished(self) -> int:
+        """Return the number of finished requests."""
         with self.result.lock:
             return sum(self.result.outcomes.values())
 
@@ -98,12 +98,12 @@
                 self._save(rng)
             else:
                 self._generate(rng)
-            self._stop.wait(rng.uniform(0, self._spec.think))
+            self._stop.wait(rng.uniform(0, self._spec.max_pause))
 
     def _headers(self, rng: random.Random) -> dict[str, str]:
         return {"Authorization": f"Bearer {rng.choice(self._spec.tokens)}"}
 
-    def _note(self, kind: str, outcome: str, reason: str = "") -> None:
+    def _record_outcome(self, kind: str, outcome: str, reason: str = "") -> None:
         with self.result.lock:
             self.result.outcomes[kind, outcome] += 1
             if reason:
@@ -114,71 +114,70 @@
     def _generate(self, rng: random.Random) -> None:
         prompt, seed = f"panel {rng.randrange(10_000)}", rng.randrange(1_000)
         count = rng.randint(4, self._spec.max_tokens)
-        order = {"prompt": prompt, "seed": seed, "max_tokens": count}
+        payload = {"prompt": prompt, "seed": seed, "max_tokens": count}
         url = f"http://{rng.choice(self._entries)}/{self._spec.model_service}/generate"
-        began = time.monotonic()
+        start_time = time.monotonic()
         try:
             response = self._http.request(
                 "POST",
                 url,
-                body=json.dumps(order).encode(),
+                body=json.dumps(payload).encode(),
                 headers=self._headers(rng),
                 preload_content=False,
                 timeout=_TIMEOUT,
             )
             if response.status != 200:
-                self._note_refusal("generation", response.read())
+                self._record_refusal("generation", response.read())
                 return
-            lines = self._read_lines(response, began)
+            lines = self._read_lines(response, start_time)
         except (urllib3.exceptions.HTTPError, OSError) as exc:
-            self._note("generation", "broken", type(exc).__name__)
+            self._record_outcome("generation", "broken", type(exc).__name__)
             return
         self._check_generation(lines, make_tokens(prompt, seed, count))
 
-    def _read_lines(self, response: urllib3.BaseHTTPResponse, began: float) -> list[bytes]:
+    def _read_lines(self, response: urllib3.BaseHTTPResponse, start_time: float) -> list[bytes]:
         text = b""
-        last = 0.0
+        previous_time = 0.0
         for chunk in response.read_chunked():
             now = time.monotonic()
             with self.result.lock:
-                if last:
-                    self.result.between_ms.append((now - last) * 1_000)
+                if previous_time:
+                    self.result.inter_token_ms.append((now - previous_time) * 1_000)
                 else:
-                    self.result.first_ms.append((now - began) * 1_000)
-            last = now
+                    self.result.first_token_ms.append((now - start_time) * 1_000)
+            previous_time = now
             text += chunk
         return text.splitlines()
 
     def _check_generation(self, lines: list[bytes], expected: list[str]) -> None:
         parsed = [json.loads(line) for line in lines]
         tokens = [line.get("token") for line in parsed[:-1]]
-        whole = bool(parsed) and parsed[-1] == {"done": True, "tokens": len(expected)}
-        if tokens == expected and whole:
-            self._note("generation", "answered")
+        is_complete = bool(parsed) and parsed[-1] == {"done": True, "tokens": len(expected)}
+        if tokens == expected and is_complete:
+            self._record_outcome("generation", "answered")
             return
         with self.result.lock:
-            self.result.wrong.append(f"expected {expected}, got {lines!r}")
-        self._note("generation", "wrong")
+            self.result.wrong_answers.append(f"expected {expected}, got {lines!r}")
+        self._record_outcome("generation", "wrong")
 
     # Saves.
 
     def _save(self, rng: random.Random) -> None:
-        """Save once; ask again with the same key when told that it did not run.
+        """Save and retry with the same key, also after an unknown outcome.
 
-        After an unknown outcome the caller asks again as well, as real ones do:
-        that it runs at most once is what the ledger is for.
+        The ledgers are checked afterwards for saves that ran more than once.
         """
         key = new_key(time.time_ns() // 1_000_000, rng)
         text = f"page {rng.randrange(200)}"
         outcome, reason = "unknown", ""
-        for _ in range(_SAVE_TRIES):
+        for _ in range(_MAX_SAVE_ATTEMPTS):
             outcome, reason, wait = self._save_once(rng, key, text)
             if outcome in ("answered", "wrong"):
                 break
             time.sleep(wait)
         with self.result.lock:
             self.result.saves[key] = outcome
-        self._note("save", outcome, reason)
+        self._record_outcome("save", outcome, reason)
 
     def _save_once(self, rng: random.Random, key: str, text: str) -> tuple[str, str, float]:
         entry = rng.choice(self._entries)
@@ -197,9 +196,9 @@
         if answer["key"] == key and answer["echo"] == text:
             return "answered", "", 0.0
         with self.result.lock:
-            self.result.wrong.append(f"key {key} got {answer}")
+            self.result.wrong_answers.append(f"key {key} got {answer}")
         return "wrong", "", 0.0
 
-    def _note_refusal(self, kind: str, body: bytes) -> None:
+    def _record_refusal(self, kind: str, body: bytes) -> None:
         answer = json.loads(body)
-        self._note(kind, answer["outcome"], answer["reason"])
+        self._record_outcome(kind, answer["outcome"], answer["reason"])
--- a/demo/_report.py
+++ b/demo/_report.py
@@ -1,4 +1,4 @@
-"""Checks the invariants after a run and prints what a user wants to see."""
+"""Checks the invariants after a run and prints a summary."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What the ledgers say of a run."""
+class InvariantViolations:
+    """Invariant violations found in the ledgers of a run."""
 
     #: Keys that ran more than once.
     double_runs: list[str]
-    #: Keys that callers were told had not run, and that ran.
+    #: Keys reported as not run that did run.
     false_refusals: list[str]
-    #: Keys that callers were told were answered, and that did not run.
+    #: Keys reported as answered that did not run.
     false_answers: list[str]
     #: Steps that ran on two maps.
     split_steps: list[int]
     wrong_answers: list[str]
 
     @property
-    def broken(self) -> bool:
-        """Tell whether any invariant was broken."""
+    def has_any(self) -> bool:
+        """Whether any invariant was violated."""
         return bool(
             self.double_runs
             or self.false_refusals
@@ -38,62 +38,67 @@
         )
 
 
-def judge(fleet: Fleet, result: LoadResult, step_ledgers: Sequence[Any]) -> Verdict:
-    """Hold what callers were told against the stand-ins' own ledgers."""
+def check_invariants(
+    fleet: Fleet, result: LoadResult, step_ledgers: Sequence[Any]
+) -> InvariantViolations:
+    """Compare the outcomes reported to callers with the ledgers of the fake backends."""
     runs: dict[str, int] = {}
     for target in fleet.spec.targets:
         for key, count in read_ledger(str(fleet.ledger(target.name))).items():
             runs[key] = runs.get(key, 0) + count
-    return Verdict(
+    return InvariantViolations(
         double_runs=[k for k, n in runs.items() if n > 1],
         false_refusals=[k for k, o in result.saves.items() if o == "not_run" and k in runs],
         false_answers=[k for k, o in result.saves.items() if o == "answered" and k not in runs],
         split_steps=steps_on_two_maps(list(step_ledgers)),
-        wrong_answers=list(result.wrong),
+        wrong_answers=list(result.wrong_answers),
     )
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """Return the value under which ``fraction`` of ``values`` lie; 0 without values."""
+    """Return the quantile of ``values`` at ``fraction``, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 def print_report(
-    fleet: Fleet, result: LoadResult, verdict: Verdict, statuses: Mapping[str, Any]
+    fleet: Fleet, result: LoadResult, violations: InvariantViolations, statuses: Mapping[str, Any]
 ) -> None:
-    """Print answers, refusals, times, generations, skew and the verdict."""
-    print("\nwhat callers were told")
+    """Print outcomes, refusals, latencies, generations, skew and violations."""
+    print("\nrequests by outcome")
     for (kind, outcome), count in sorted(result.outcomes.items()):
         print(f"  {kind:<12}{outcome:<10}{count:>7}")
     print("refusals and failures by reason")
     for reason, count in sorted(result.reasons.items()):
         print(f"  {reason:<22}{count:>7}")
-    print("times in ms                    p50      p99")
-    for name, values in (("first token", result.first_ms), ("between tokens", result.between_ms)):
+    print("latency in ms                  p50      p99")
+    for name, values in (
+        ("first token", result.first_token_ms),
+        ("between tokens", result.inter_token_ms),
+    ):
         print(f"  {name:<22}{quantile(values, 0.5):>10.1f}{quantile(values, 0.99):>9.1f}")
     _print_statuses(statuses)
     print("invariants")
-    print(f"  double runs                  {len(verdict.double_runs)}")
-    print(f"  'not run' that ran           {len(verdict.false_refusals)}")
-    print(f"  'answered' that did not run  {len(verdict.false_answers)}")
-    print(f"  wrong or mixed-up answers    {len(verdict.wrong_answers)}")
-    print(f"  steps on two maps            {len(verdict.split_steps)}")
-    for wrong in verdict.wrong_answers[:3]:
+    print(f"  double runs                  {len(violations.double_runs)}")
+    print(f"  'not run' that ran           {len(violations.false_refusals)}")
+    print(f"  'answered' that did not run  {len(violations.false_answers)}")
+    print(f"  wrong or mixed-up answers    {len(violations.wrong_answers)}")
+    print(f"  steps on two maps            {len(violations.split_steps)}")
+    for wrong in violations.wrong_answers[:3]:
         print(f"    {wrong[:200]}")
 
 
 def _print_statuses(statuses: Mapping[str, Any]) -> None:
-    print("generation in force")
-    shown: dict[str, int] = {}
+    print("active generation")
+    generations: dict[str, int] = {}
     groups: dict[str, Any] = {}
     for entry, status in statuses.items():
-        shown[entry] = status["entry"]["generation"]
+        generations[entry] = status["entry"]["generation"]
         for target in status["targets"]:
-            shown[target["instance"]] = target["generation"]
+            generations[target["instance"]] = target["generation"]
         for group in status["groups"]:
             groups[group["group"]] = group
-    for name, generation in sorted(shown.items()):
+    for name, generation in sorted(generations.items()):
         print(f"  {name:<22}{generation:>7}")
     for name, group in groups.items():
         print(
