--- a/bench/routing.py
+++ b/bench/routing.py
@@ -8,7 +8,7 @@
 
 from bench._process import quantile
 from bench._registry import EXPERIMENTS, Cell, Result, Table
-from bench._routing_world import RequestStats, Simulation, SimulationSpec, run_shared_queue
+from bench._routing_simulation import RequestStats, Simulation, SimulationSpec, run_shared_queue
 
 #: Requests per second that 16 targets of 8 slots can serve, at 440 ms each.
 CAPACITY: Final = 16 * 8 / 0.440
