--- a/tests/test_backends_in_need.py
+++ b/tests/test_notices_under_faults.py
@@ -17,7 +17,7 @@
 from fakes.engine_ledger import EngineNotice, backoff_violations, requests_after_drain
 from fakes.platform_engine import PlatformEngine
 from tests.direct import DirectEntry, Reply
-from tests.test_backend_words import NoticeFleet
+from tests.test_backend_notices import NoticeFleet
 
 #: Duration of a run and interval between notice changes, in seconds.
 _RUN_SECONDS = 7.0
