--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""Tests of the ablation switches and of the table of their results."""
+"""Ablation switches match the code, and runs yield the expected table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("switch", load_switches(), ids=lambda switch: switch.name)
-def test_each_switch_matches_the_current_code(switch: Switch) -> None:
+def test_each_switch_matches_the_code_once(switch: Switch) -> None:
     assert (ROOT / switch.file).read_text().count(switch.old) == 1
     assert switch.new != switch.old
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the tables made from the entries' logs."""
+"""The loss table is computed correctly from entry logs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return "  12.5 entry-1 " + json.dumps(record)
 
 
-#: Description, log line of an entry, and the cause read from it.
+#: Name of the case, line of an entry, and expected cause.
 CAUSES = [
     ("on time", line(1, "answered", tried=["b"], late=""), "on time"),
     ("a pause", line(1, "answered", tried=["b"], late="pause"), "late: pause"),
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     "text", ["", "no record", '{"time": 1}', '{"half":', line(1, "linked", peer="entry-2")]
 )
-def test_lines_without_a_finished_request_are_skipped(text: str) -> None:
+def test_lines_without_a_request_are_skipped(text: str) -> None:
     assert list(read_requests([text])) == []
 
 
