--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from canvasyoke._clock import Clock
-from canvasyoke.backend import DirectBackendPort, OutboundRequest, Sending
+from canvasyoke.backend import DirectBackendPort, OutboundRequest, SendResult
 from canvasyoke.direct._budget import FleetRetryBudget
 from canvasyoke.direct._call import DirectCall
 from canvasyoke.direct._crash_detector import CrashDetector
@@ -16,7 +16,7 @@
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct._roster import Roster
 from canvasyoke.state import Endpoint, Repeatability, ServiceShare, TableRoute
-from canvasyoke.transport import ExchangeSlot, Reach
+from canvasyoke.transport import ExchangeHandle, ProbeResult
 
 ROUTE = TableRoute(
     name="r",
@@ -35,15 +35,19 @@
 
 
 class CannedPort(DirectBackendPort):
-    def __init__(self, send: Callable[[], Sending]) -> None:
+    def __init__(self, send: Callable[[], SendResult]) -> None:
         self._send = send
 
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
+    ) -> SendResult:
         return self._send()
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
         return None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
@@ -55,7 +59,7 @@
     roster: Roster,
     budget: FleetRetryBudget,
     clock: Clock,
-    reach: Reach = Reach.LISTENING,
+    reach: ProbeResult = ProbeResult.LISTENING,
     quarantine: Quarantine | None = None,
 ) -> Forwarder:
     """Return a forwarder whose crash probe returns ``reach`` for every failed backend."""
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -17,7 +17,7 @@
     NotRun,
     NotRunCause,
     OutboundRequest,
-    Sending,
+    SendResult,
     UnreadableField,
 )
 from canvasyoke.direct._backend_limits import RateLimit
@@ -29,7 +29,7 @@
 from canvasyoke.direct._roster import Roster
 from canvasyoke.direct.tests.calls import ROUTE, make_call, make_forwarder
 from canvasyoke.state import Endpoint, EndpointState, TableRoute
-from canvasyoke.transport import ExchangeError, ExchangeSlot
+from canvasyoke.transport import ExchangeError, ExchangeHandle
 
 RESUMABLE = replace(ROUTE, resumable=True, max_attempts=3)
 REFUSAL = NotRun(NotRunCause.FULL, "refused with status 503", notice=BackendNotice(backoff=3_000))
@@ -64,7 +64,7 @@
 class _Port(DirectBackendPort):
     """Returns scripted answers; acquires the slot as the transport does."""
 
-    def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
+    def __init__(self, answer: Callable[[Endpoint], SendResult]) -> None:
         self._answer = answer
         #: Ids of the backends that a request was written to.
         self.reached: list[str] = []
@@ -72,16 +72,20 @@
         self.on_connect: Callable[[Endpoint], object] = lambda _: None
 
     def send(
-        self, endpoint: Endpoint, request: OutboundRequest, connect_timeout: int, slot: ExchangeSlot
-    ) -> Sending:
+        self,
+        endpoint: Endpoint,
+        request: OutboundRequest,
+        connect_timeout: int,
+        slot: ExchangeHandle,
+    ) -> SendResult:
         self.on_connect(endpoint)
-        denial_reason = slot.hold(None)
+        denial_reason = slot.attach(None)
         if denial_reason:
             return NotRun(NotRunCause.WITHDRAWN, denial_reason)
         self.reached.append(endpoint.id)
         return self._answer(endpoint)
 
-    def pace_of(self, endpoint: Endpoint) -> float | None:
+    def slowdown_of(self, endpoint: Endpoint) -> float | None:
         return None
 
     def group_of(self, endpoint: Endpoint) -> str | None:
@@ -91,7 +95,7 @@
 class _Entry:
     """An entry's forwarder with a scripted port in place of sockets."""
 
-    def __init__(self, answer: Callable[[Endpoint], Sending]) -> None:
+    def __init__(self, answer: Callable[[Endpoint], SendResult]) -> None:
         self.clock = ManualClock(start=10_000)
         self.roster = Roster("nbo-a", self.clock, random.Random(1))
         self.roster.merge(
@@ -155,7 +159,7 @@
 
 
 def test_a_retry_avoids_backends_in_backoff() -> None:
-    def answer(endpoint: Endpoint) -> Sending:
+    def answer(endpoint: Endpoint) -> SendResult:
         return REFUSAL if endpoint.id != "b-3" else _Answer(WHOLE)
 
     entry = _Entry(answer)
@@ -194,7 +198,7 @@
 
 
 #: Answers of all kinds that ask to back off.
-ANSWERS: list[tuple[str, Sending]] = [
+ANSWERS: list[tuple[str, SendResult]] = [
     ("a refusal", REFUSAL),
     ("a failure of its own", _Answer(WHOLE, 503, BackendNotice(backoff=3_000))),
     ("a stream that breaks off", _Answer([b"id: 1\n"], notice=BackendNotice(backoff=3_000))),
@@ -203,7 +207,7 @@
 
 
 @pytest.mark.parametrize("sending", [case[1] for case in ANSWERS], ids=[c[0] for c in ANSWERS])
-def test_notices_in_all_kinds_of_answers_are_applied(sending: Sending) -> None:
+def test_notices_in_all_kinds_of_answers_are_applied(sending: SendResult) -> None:
     entry = _Entry(lambda _: sending)
     entry.run(replace(RESUMABLE, max_attempts=1))
     asking = entry.port.reached[0]
@@ -232,7 +236,7 @@
         entry.roster.record_stream_start(endpoint.run, 100)
     entry.clock.advance(1)
     call = make_call(RESUMABLE)
-    call.slot = ExchangeSlot()
+    call.slot = ExchangeHandle()
     call.backend, call.sent_at = backend, entry.clock.now()
     entry.clock.advance(1_000)
     for endpoint in entry.roster.endpoints():
@@ -246,7 +250,7 @@
     call = silent_call(entry, "b-1")
     assert entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
-    assert call.slot.is_shut
+    assert call.slot.is_cancelled
     assert entry.retries_left() == budget - 1
 
 
@@ -263,7 +267,7 @@
     entry.retries_left()
     assert not entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
-    assert not call.slot.is_shut
+    assert not call.slot.is_cancelled
 
 
 def test_a_stream_stays_with_a_slow_backend_if_no_other_takes_requests() -> None:
--- a/src/canvasyoke/direct/tests/test_quarantine.py
+++ b/src/canvasyoke/direct/tests/test_quarantine.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from canvasyoke._clock import SECOND, ManualClock
-from canvasyoke.backend import BackendAnswer, MayHaveRun, Sending
+from canvasyoke.backend import BackendAnswer, MayHaveRun, SendResult
 from canvasyoke.direct import _quarantine
 from canvasyoke.direct._budget import FleetRetryBudget, RetryAllowance
 from canvasyoke.direct._call import AnswerEnd, AnswerHead, AnswerPart, DirectCall, ErrorAnswer
@@ -23,9 +23,9 @@
 from canvasyoke.direct.tests.calls import ROUTE, CannedPort, make_call, make_forwarder
 from canvasyoke.platform._store import ObjectsFleetStore
 from canvasyoke.state import Endpoint, EndpointState, Repeatability
-from canvasyoke.transport import Reach
+from canvasyoke.transport import ProbeResult
 from fakes.object_store import ObjectStore
-from fakes.store_pool import PlannedClock, StorePool
+from fakes.store_pool import SchedulingClock, StorePool
 
 SAFE = dataclasses.replace(ROUTE, is_stream=False, repeatability=Repeatability.SAFE, max_attempts=2)
 
@@ -238,27 +238,29 @@
         pass
 
 
-BROKEN = MayHaveRun("reset", is_broken=True)
+BROKEN = MayHaveRun("reset", is_connection_lost=True)
 
 
 class Entry:
     """An entry with ten backends that return scripted responses."""
 
-    def __init__(self, recorder: RecordingQuarantine, reach: Reach = Reach.REFUSED) -> None:
+    def __init__(
+        self, recorder: RecordingQuarantine, reach: ProbeResult = ProbeResult.REFUSED
+    ) -> None:
         self.roster = Roster("nbo-a", recorder.clock, random.Random(1))
         names = [f"b-{n}" for n in range(10)]
         self.roster.merge(
             [Endpoint(n, "ink", f"{n}:1", "nbo-a", 6, EndpointState.READY, 1) for n in names], 1
         )
         self.sent = 0
-        self.answer: Callable[[], Sending] = lambda: BROKEN
+        self.answer: Callable[[], SendResult] = lambda: BROKEN
         budget = FleetRetryBudget(RetryAllowance(0.2, 1_000, 10_000), recorder.clock)
         port = CannedPort(self._send)
         self.forwarder = make_forwarder(
             port, self.roster, budget, recorder.clock, reach, recorder.quarantine
         )
 
-    def _send(self) -> Sending:
+    def _send(self) -> SendResult:
         self.sent += 1
         return self.answer()
 
@@ -295,7 +297,7 @@
     for _ in range(2):
         entry.run(b"deadly", attempts=1)
         recorder.clock.advance(200)
-    answers: list[Sending] = [_Answer(500), BROKEN]
+    answers: list[SendResult] = [_Answer(500), BROKEN]
     entry.answer = lambda: answers.pop(0)
     pieces = entry.run(b"deadly", attempts=3)
     assert recorder.quarantine.quarantined
@@ -306,7 +308,7 @@
     recorder: RecordingQuarantine,
 ) -> None:
     entry = Entry(recorder)
-    answers: list[Sending] = [BROKEN, _Answer()]
+    answers: list[SendResult] = [BROKEN, _Answer()]
     entry.answer = lambda: answers.pop(0)
     assert isinstance(entry.run(b"sound")[-1], AnswerEnd)
     entry.answer = lambda: BROKEN
@@ -319,12 +321,12 @@
 
 
 #: Attempts that are no evidence against their request.
-HARMLESS: list[tuple[str, Sending, Reach, bool]] = [
-    ("a reset by a backend that goes on", BROKEN, Reach.LISTENING, False),
-    ("a cut", BROKEN, Reach.SILENT, False),
-    ("time that ran out", MayHaveRun("timed out"), Reach.REFUSED, False),
-    ("a caller that has left", BROKEN, Reach.REFUSED, True),
-    ("a failure of the backend's own", _Answer(500), Reach.REFUSED, False),
+HARMLESS: list[tuple[str, SendResult, ProbeResult, bool]] = [
+    ("a reset by a backend that goes on", BROKEN, ProbeResult.LISTENING, False),
+    ("a cut", BROKEN, ProbeResult.SILENT, False),
+    ("time that ran out", MayHaveRun("timed out"), ProbeResult.REFUSED, False),
+    ("a caller that has left", BROKEN, ProbeResult.REFUSED, True),
+    ("a failure of the backend's own", _Answer(500), ProbeResult.REFUSED, False),
 ]
 
 
@@ -332,7 +334,7 @@
     ("sent", "reach", "gone"), [h[1:] for h in HARMLESS], ids=[h[0] for h in HARMLESS]
 )
 def test_failures_without_a_crash_are_no_evidence(
-    recorder: RecordingQuarantine, sent: Sending, reach: Reach, gone: bool
+    recorder: RecordingQuarantine, sent: SendResult, reach: ProbeResult, gone: bool
 ) -> None:
     entry = Entry(recorder, reach)
     entry.answer = lambda: sent
@@ -361,7 +363,7 @@
     """A simulated store and clock shared by several entries."""
 
     def __init__(self) -> None:
-        self.clock = PlannedClock(start=100_000)
+        self.clock = SchedulingClock(start=100_000)
         self.store = ObjectStore()
 
     def entry(self) -> tuple[Quarantine, QuarantineNotes]:
@@ -418,15 +420,15 @@
     """The store is restored from a copy made before the verdict or before the release."""
     shared = SharedStore()
     quarantine, notes = shared.entry()
-    older = shared.store.copy()
+    older = shared.store.snapshot()
     end_three_runs(shared, quarantine)
     notes.sync(era=0)
     if released:
-        older = shared.store.copy()
+        older = shared.store.snapshot()
         quarantine.release("f")
         shared.clock.advance(2 * SECOND)
         notes.sync(era=0)
-    shared.store.return_from(older)
+    shared.store.restore(older)
     shared.clock.advance(2 * SECOND)
     notes.sync(era=1)
     shared.clock.advance(2 * SECOND)
--- a/src/canvasyoke/state/_config.py
+++ b/src/canvasyoke/state/_config.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration as the processes use it, built from whole files."""
+"""Fleet configuration built from parsed configuration files."""
 
 from __future__ import annotations
 
@@ -20,31 +20,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How one request of a service is treated."""
+    """Handling of a request to a service."""
 
-    #: Whether the request may run twice without harm.
+    #: Whether the request can safely be executed more than once.
     repeatable: bool
-    #: Milliseconds a caller waits when it does not say.
+    #: Default deadline in milliseconds, if the caller sets none.
     deadline: int
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A pool of engines behind one name."""
+    """A named pool of engines."""
 
     name: str
     model: ServiceModel
 
     def route(self, method: str, path: str) -> Route:
-        """Return how ``method`` on ``path`` (below the service) is treated."""
+        """Return the handling of ``method`` on ``path``, which is relative to the service.
+
+        The first matching route applies. Without one, only safe methods are repeatable.
+        """
         for route in self.model.routes:
             if path.startswith(route.path) and (not route.methods or method in route.methods):
                 return Route(route.repeatable, route.deadline_ms or self.model.deadline_ms)
         return Route(method in _SAFE_METHODS, self.model.deadline_ms)
 
     @property
-    def holds_keys(self) -> bool:
-        """Tell whether some of its requests must not run twice."""
+    def accepts_non_repeatable(self) -> bool:
+        """Whether some requests to the service must not be executed more than once."""
         return self.model.kind == "plain" or any(not r.repeatable for r in self.model.routes)
 
 
@@ -64,7 +67,7 @@
     model: OrganisationModel
 
     def may_call(self, service: str) -> bool:
-        """Tell whether it may call ``service``."""
+        """Return whether the organisation is allowed to call ``service``."""
         return not self.model.services or service in self.model.services
 
 
@@ -74,30 +77,30 @@
 
     name: str
     model: PlacementModel
-    #: Instance name of each rank, in order of rank.
+    #: Instance names ordered by rank.
     instances: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """One generation of the configuration; never changed once built."""
+    """One immutable generation of the configuration."""
 
-    #: Number of the generation; 0 before any is known.
+    #: Generation number; 0 before a configuration has been loaded.
     generation: int = 0
     services: Mapping[str, Service] = field(default_factory=dict)
     engines: Mapping[str, Engine] = field(default_factory=dict)
     organisations: Mapping[str, Organisation] = field(default_factory=dict)
     groups: Mapping[str, Group] = field(default_factory=dict)
-    #: Organisations by the SHA-256 of their token.
+    #: Organisations by SHA-256 of their token.
     tokens: Mapping[str, Organisation] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class ReferenceFault:
-    """Something wrong that only shows when the files are seen together."""
+    """An inconsistency found when all files are checked together."""
 
     file: str
-    #: Section, name and field, such as ``("engines", "ink-1", "service")``.
+    #: Section, name and optionally field, such as ``("engines", "ink-1", "service")``.
     path: tuple[str, ...]
     expected: str
 
@@ -105,7 +108,7 @@
 def build_config(
     generation: int, files: Mapping[str, FileModel]
 ) -> FleetConfig | list[ReferenceFault]:
-    """Return the configuration that ``files`` make together, or all faults."""
+    """Merge ``files`` into a configuration; return all faults if they are inconsistent."""
     checker = _Checker(files)
     checker.check()
     if checker.faults:
@@ -127,7 +130,7 @@
 
 
 class _Checker:
-    """Merges files and collects what does not fit together."""
+    """Merges files and collects inconsistencies between them."""
 
     def __init__(self, files: Mapping[str, FileModel]) -> None:
         self.services: dict[str, ServiceModel] = {}
@@ -135,7 +138,7 @@
         self.organisations: dict[str, OrganisationModel] = {}
         self.placement: dict[str, PlacementModel] = {}
         self.faults: list[ReferenceFault] = []
-        self._home: dict[tuple[str, str], str] = {}
+        self._defining_files: dict[tuple[str, str], str] = {}
         for file, model in sorted(files.items()):
             self._merge(file, "services", self.services, model.services)
             self._merge(file, "engines", self.engines, model.engines)
@@ -143,22 +146,22 @@
             self._merge(file, "placement", self.placement, model.placement)
 
     def _merge(
-        self, file: str, section: str, into: dict[str, _ModelT], values: Mapping[str, _ModelT]
+        self, file: str, section: str, merged: dict[str, _ModelT], values: Mapping[str, _ModelT]
     ) -> None:
         for name, value in values.items():
-            other = self._home.setdefault((section, name), file)
-            if other != file:
-                expected = f"stands in {other} already"
+            first = self._defining_files.setdefault((section, name), file)
+            if first != file:
+                expected = f"is already defined in {first}"
                 self.faults.append(ReferenceFault(file, (section, name), expected))
-            into[name] = value
+            merged[name] = value
 
-    def _fault(self, section: str, name: str, field_name: str, expected: str) -> None:
-        file = self._home[(section, name)]
+    def _add_fault(self, section: str, name: str, field_name: str, expected: str) -> None:
+        file = self._defining_files[(section, name)]
         path = (section, name, field_name) if field_name else (section, name)
         self.faults.append(ReferenceFault(file, path, expected))
 
     def check(self) -> None:
-        """Check every reference between the parts."""
+        """Check all references between sections."""
         self._check_engines()
         self._check_organisations()
         self._check_placement()
@@ -166,30 +169,32 @@
     def _check_engines(self) -> None:
         for name, engine in self.engines.items():
             if engine.service not in self.services:
-                self._fault("engines", name, "service", f"no service {engine.service!r}")
+                self._add_fault("engines", name, "service", f"no service {engine.service!r}")
             if engine.group and engine.group not in self.placement:
-                self._fault("engines", name, "group", f"no group {engine.group!r} in placement")
+                self._add_fault("engines", name, "group", f"no group {engine.group!r} in placement")
 
     def _check_organisations(self) -> None:
-        seen: dict[str, str] = {}
+        first_by_token: dict[str, str] = {}
         for name, organisation in self.organisations.items():
             for service in organisation.services:
                 if service not in self.services:
-                    self._fault("organisations", name, "services", f"no service {service!r}")
-            other = seen.setdefault(organisation.token_sha256, name)
-            if other != name:
-                self._fault("organisations", name, "token_sha256", f"is also that of {other!r}")
+                    self._add_fault("organisations", name, "services", f"no service {service!r}")
+            first = first_by_token.setdefault(organisation.token_sha256, name)
+            if first != name:
+                self._add_fault(
+                    "organisations", name, "token_sha256", f"is already used by {first!r}"
+                )
 
     def _check_placement(self) -> None:
         for name, group in self.placement.items():
             if group.service not in self.services:
-                self._fault("placement", name, "service", f"no service {group.service!r}")
+                self._add_fault("placement", name, "service", f"no service {group.service!r}")
             members = {n: e for n, e in self.engines.items() if e.group == name}
             if sorted(e.rank for e in members.values()) != list(range(group.ranks)):
                 expected = f"needs one engine for each rank from 0 to {group.ranks - 1}"
-                self._fault("placement", name, "ranks", expected)
+                self._add_fault("placement", name, "ranks", expected)
             if any(e.service != group.service for e in members.values()):
-                self._fault("placement", name, "service", "has engines of another service")
+                self._add_fault("placement", name, "service", "has engines of another service")
             if group.ranks * group.capacity < group.experts:
                 expected = f"{group.ranks} ranks of {group.capacity} cannot hold all experts"
-                self._fault("placement", name, "capacity", expected)
+                self._add_fault("placement", name, "capacity", expected)
--- a/src/canvasyoke/state/_platform_http.py
+++ b/src/canvasyoke/state/_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform met over HTTP with JSON, by urllib3."""
+"""Platform adapter for HTTP with JSON, based on urllib3."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @PLATFORMS.register("http-json")
 class HttpPlatform(Platform):
-    """``/objects/KEY`` with versions in ``X-Object-Version``, and ``/instances``."""
+    """Client of ``/objects/KEY``, with versions in ``X-Object-Version``, and ``/instances``."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
@@ -59,7 +59,7 @@
             return response
         if response.status == _NOT_FOUND:
             return Absent(key)
-        return _found(key, response)
+        return _to_found(key, response)
 
     def write(self, key: str, value: bytes, expected: int) -> WriteResult:
         """Write if the version is ``expected``."""
@@ -67,7 +67,7 @@
         response = self._call("PUT", _object_path(key), body=value, headers=headers)
         if isinstance(response, Unavailable):
             return response
-        version = _version(response)
+        version = _parse_version(response)
         if response.status == _CONFLICT:
             return Conflict(version)
         if response.status == _OK:
@@ -75,14 +75,14 @@
         return Unavailable(f"status {response.status}", ambiguous=True)
 
     def delete(self, key: str) -> WriteResult:
-        """Remove the object under ``key``."""
+        """Delete the object under ``key``."""
         response = self._call("DELETE", _object_path(key))
         if isinstance(response, Unavailable):
             return response
         return Written(0)
 
     def list_keys(self, prefix: str) -> list[str] | Unavailable:
-        """Return the keys that begin with ``prefix``."""
+        """Return the keys that start with ``prefix``."""
         return self._get_json(f"/keys?prefix={quote(prefix, safe='')}", list[str])
 
     def watch(self, key: str, after: int, timeout: int) -> WatchResult:
@@ -93,7 +93,7 @@
             return response
         if response.status in (_NO_CONTENT, _NOT_FOUND):
             return Unchanged()
-        return _found(key, response)
+        return _to_found(key, response)
 
     def instances(self) -> list[Instance] | Unavailable:
         """Return the instance list."""
@@ -143,14 +143,14 @@
     return f"/objects/{quote(key)}"
 
 
-def _version(response: urllib3.BaseHTTPResponse) -> int:
+def _parse_version(response: urllib3.BaseHTTPResponse) -> int:
     try:
         return int(response.headers.get(_VERSION_HEADER, ""))
     except ValueError:
         return 0
 
 
-def _found(key: str, response: urllib3.BaseHTTPResponse) -> Found | Unavailable:
+def _to_found(key: str, response: urllib3.BaseHTTPResponse) -> Found | Unavailable:
     if response.status != _OK:
         return Unavailable(f"status {response.status}")
-    return Found(key, _version(response), response.data)
+    return Found(key, _parse_version(response), response.data)
--- a/src/canvasyoke/state/_settings.py
+++ b/src/canvasyoke/state/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: where it is, whom it talks to, how it logs."""
+"""Settings of a process: identity, addresses and logging."""
 
 from __future__ import annotations
 
@@ -19,22 +19,21 @@
 
 
 class _Model(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What all models of settings share."""
+    """Base class of settings models."""
 
 
 class LogSettings(_Model, frozen=True, kw_only=True):
-    """How a process logs."""
+    """Logging of a process."""
 
     level: Annotated[
-        Literal["debug", "info", "warning", "error"], Meta(description="Lowest level written.")
+        Literal["debug", "info", "warning", "error"],
+        Meta(description="Minimum level of log records."),
     ] = "info"
-    format: Annotated[
-        Literal["text", "json"], Meta(description="Lines for people or for programs.")
-    ] = "text"
+    format: Annotated[Literal["text", "json"], Meta(description="Output format.")] = "text"
 
 
 class PlatformSettings(_Model, frozen=True, kw_only=True):
-    """Where the platform's object API and instance list are."""
+    """Access to the platform's object API and instance list."""
 
     address: Annotated[Address, Meta(description="Address of the platform.")]
     adapter: Annotated[str, Meta(description="Name of a registered adapter.")] = "http-json"
@@ -50,96 +49,101 @@
 class EntrySettings(_Model, frozen=True, kw_only=True):
     """Settings of an entry process."""
 
-    instance: Annotated[Name, Meta(description="Name of the instance, as in the list.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
-    http: Annotated[Address, Meta(description="Where callers are served.")]
+    instance: Annotated[Name, Meta(description="Name of the instance in the instance list.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
+    http: Annotated[Address, Meta(description="Listening address for callers.")]
     admin: Annotated[
-        Address, Meta(description="Where status and metrics are served, for operators only.")
+        Address, Meta(description="Listening address of status and metrics, for operators only.")
     ]
     link_key: Annotated[LinkKey, Meta(description="The fleet's link key: 32 bytes in hex.")]
     platform: PlatformSettings
     log: LogSettings = LogSettings()
-    streams: Annotated[int, Meta(ge=1, le=2_000, description="Requests held at the same time.")] = (
-        320
-    )
+    streams: Annotated[
+        int, Meta(ge=1, le=2_000, description="Maximum number of requests in progress.")
+    ] = 320
     seed: Annotated[
-        int, Meta(ge=0, description="Seed of random choices; 0 for one from the system.")
+        int, Meta(ge=0, description="Seed of the random number generator; 0 for a random seed.")
     ] = 0
 
 
 class TargetSettings(_Model, frozen=True, kw_only=True):
     """Settings of a target process."""
 
-    instance: Annotated[Name, Meta(description="Name of the instance, as in the list.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
+    instance: Annotated[Name, Meta(description="Name of the instance in the instance list.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
     service: Annotated[Name, Meta(description="Service that the backend belongs to.")]
-    listen: Annotated[Address, Meta(description="Where entries and other targets connect.")]
+    listen: Annotated[Address, Meta(description="Listening address for entries and other targets.")]
     backend: BackendSettings
     link_key: Annotated[LinkKey, Meta(description="The fleet's link key: 32 bytes in hex.")]
     platform: PlatformSettings
     log: LogSettings = LogSettings()
     seed: Annotated[
-        int, Meta(ge=0, description="Seed of random choices; 0 for one from the system.")
+        int, Meta(ge=0, description="Seed of the random number generator; 0 for a random seed.")
     ] = 0
 
 
 class DirectSettings(_Model, frozen=True, kw_only=True):
-    """Settings of an entry that calls backends itself."""
+    """Settings of an entry that calls backends directly."""
 
     instance: Annotated[Name, Meta(description="Name of the instance.")]
-    domain: Annotated[Name, Meta(description="Failure domain it stands in.")]
-    http: Annotated[Address, Meta(description="Where callers are served.")]
-    ready: Annotated[Address, Meta(description="Where the balancer asks for readiness.")]
-    peer: Annotated[Address, Meta(description="Where other entries connect.")]
-    metrics: Annotated[Address, Meta(description="Where status and metrics are served.")]
+    domain: Annotated[Name, Meta(description="Failure domain of the instance.")]
+    http: Annotated[Address, Meta(description="Listening address for callers.")]
+    ready: Annotated[
+        Address, Meta(description="Listening address for readiness checks of the load balancer.")
+    ]
+    peer: Annotated[Address, Meta(description="Listening address for other entries.")]
+    metrics: Annotated[Address, Meta(description="Listening address of status and metrics.")]
     store: Annotated[Address, Meta(description="Address of the platform's store.")]
-    adapter: Annotated[str, Meta(description="Name of the registered adapters to use.")]
+    adapter: Annotated[str, Meta(description="Name of the registered adapters.")]
     retry_ratio: Annotated[
-        float, Meta(ge=0, description="Retries allowed for each request to a service.")
+        float, Meta(ge=0, description="Retries allowed per request to a service.")
     ] = 0.1
     retry_window_s: Annotated[
-        float, Meta(gt=0, description="Seconds over which retries are counted.")
+        float,
+        Meta(gt=0, description="Length in seconds of the window in which retries are counted."),
     ] = 10.0
     retry_slack: Annotated[
-        # Deployments scale it with their size, so it need not be whole.
+        # Deployments scale this value with their size, so it can be fractional.
         float,
-        Meta(ge=0, description="Retries allowed in a window beyond the ratio, fleet-wide."),
+        Meta(ge=0, description="Fleet-wide retries allowed per window in addition to the ratio."),
     ] = 20
     log: LogSettings = LogSettings(format="json")
 
 
 class RanksSettings(_Model, frozen=True, kw_only=True):
-    """Settings of the process beside an engine that moves its group's experts."""
+    """Settings of a rank process, which manages its group's expert map beside an engine."""
 
     instance: Annotated[Name, Meta(description="Name of the instance.")]
     domain: Annotated[
         str,
-        Meta(description="Failure domain it stands in; empty has it link with owners itself."),
+        Meta(description="Failure domain of the instance; if empty, owners connect without relay."),
     ] = ""
-    engine: Annotated[Address, Meta(description="Address of the engine beside it.")]
-    peer: Annotated[Address, Meta(description="Where its group's other processes connect.")]
-    metrics: Annotated[Address, Meta(description="Where metrics are served.")]
+    engine: Annotated[Address, Meta(description="Address of the local engine.")]
+    peer: Annotated[
+        Address, Meta(description="Listening address for other processes of its group.")
+    ]
+    metrics: Annotated[Address, Meta(description="Listening address of metrics.")]
     store: Annotated[Address, Meta(description="Address of the platform's store.")]
-    adapter: Annotated[str, Meta(description="Name of the registered adapters to use.")]
+    adapter: Annotated[str, Meta(description="Name of the registered adapters.")]
     log: LogSettings = LogSettings(format="json")
 
 
 class WatchedFile:
-    """Tells whether a file has been written since it was last asked about."""
+    """Detects changes of a file between calls."""
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._last_signature = self._read_signature()
 
     def has_changed(self) -> bool:
-        """Tell whether the file differs from what it was at the last call."""
-        stamp = self._stamp()
-        changed = stamp is not None and stamp != self._seen
-        self._seen = stamp or self._seen
+        """Return whether the file has changed since the previous call."""
+        signature = self._read_signature()
+        changed = signature is not None and signature != self._last_signature
+        self._last_signature = signature or self._last_signature
         return changed
 
-    def _stamp(self) -> tuple[int, int, int] | None:
-        """Return what changes with each write; ``None`` while there is no file."""
+    def _read_signature(self) -> tuple[int, int, int] | None:
+        """Return modification time, size and inode, or ``None`` if the file is missing."""
         try:
             stat = os.stat(self._path)
         except OSError:
@@ -151,7 +155,7 @@
 
 
 def load_settings(path: str, model: type[SettingsT]) -> SettingsT | list[Fault]:
-    """Return the settings in the file at ``path``, or all its faults."""
+    """Load and validate the settings file at ``path``; return all faults if it is invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
--- a/src/canvasyoke/state/_submission.py
+++ b/src/canvasyoke/state/_submission.py
@@ -1,10 +1,9 @@
-"""Submitting configuration files: all of them in force, or none.
+"""Atomic submission of configuration files.
 
-Files are immutable objects named by their hash; one small root names the files
-in force. A submission writes its files first and then replaces the root by one
-conditional write, which is the only moment at which anything changes. The root
-carries the ids of recent submissions, so that a write whose answer was lost can
-be told from one that never took effect.
+Files are immutable objects named by their hash, and a root object lists the active files. A
+submission first writes its files and then replaces the root with a single conditional write. The
+root includes the ids of recent submissions, so that a write whose response was lost can be
+distinguished from one that failed.
 """
 
 from __future__ import annotations
@@ -36,47 +35,47 @@
 #: Key of the root object.
 ROOT_KEY: Final = "config/root"
 _CONTENT_PREFIX: Final = "config/content/"
-_HISTORY: Final = 64
-_PAUSE_START: Final = 50
-_PAUSE_LIMIT: Final = 1 * SECOND
+_MAX_HISTORY: Final = 64
+_INITIAL_BACKOFF: Final = 50
+_MAX_BACKOFF: Final = 1 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What an operator wants in force."""
+    """Configuration files that an operator wants to activate or remove."""
 
-    #: Unique id, also that of its line in the audit trail.
+    #: Unique id, also used for its entry in the audit trail.
     id: str
     operator: str
-    #: Generation the files were written against.
+    #: Generation on which the files are based.
     base: int
     files: Mapping[str, FileModel]
-    #: Names of files to take out of force.
+    #: Names of files to remove.
     removed: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The submission is in force as this generation."""
+    """The submission is active as this generation."""
 
     generation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The submission is not in force and will not be."""
+    """The submission was rejected and has no effect."""
 
     detail: str
-    #: Generation in force.
+    #: Active generation.
     generation: int = 0
-    #: What changed since the submission's base.
+    #: Changes since the submission's base.
     changes: tuple[Change, ...] = ()
     faults: tuple[ReferenceFault, ...] = field(default_factory=tuple)
 
 
 @dataclass(frozen=True, slots=True)
 class Ambiguous:
-    """The platform could not be read in time; the same submission may be sent again."""
+    """The result is unknown after a timeout; submitting again with the same id is safe."""
 
     detail: str
 
@@ -85,7 +84,7 @@
 
 
 def read_root(platform: Platform) -> Root | Absent | Unavailable:
-    """Return the root object that the platform holds."""
+    """Read the root object from the platform."""
     found = platform.read(ROOT_KEY)
     return _decode_root(found.value) if isinstance(found, Found) else found
 
@@ -93,7 +92,7 @@
 def load_snapshot(
     platform: Platform, root: bytes, known: Mapping[str, bytes]
 ) -> Snapshot | Unavailable:
-    """Return the snapshot that ``root`` names, reading only what is not ``known``."""
+    """Load the snapshot of ``root``, reading only contents that are not in ``known``."""
     contents = {}
     for digest in msgspec.json.decode(root, type=Root).files.values():
         if digest in known:
@@ -114,12 +113,14 @@
     sleep: Callable[[float], None] = time.sleep,
     rng: random.Random | None = None,
 ) -> SubmitResult:
-    """Put ``submission`` in force, or say why it is not."""
-    return _Attempt(platform, submission, clock, timeout, sleep, rng or random.Random()).run()
+    """Activate ``submission``; retry until it is accepted, rejected or timed out."""
+    return _SubmitOperation(
+        platform, submission, clock, timeout, sleep, rng or random.Random()
+    ).run()
 
 
-class _Attempt:
-    """One call of :func:`submit`."""
+class _SubmitOperation:
+    """State of one :func:`submit` call."""
 
     def __init__(
         self,
@@ -133,28 +134,28 @@
         self._platform = platform
         self._submission = submission
         self._clock = clock
-        self._end = clock.now() + timeout
+        self._deadline = clock.now() + timeout
         self._sleep = sleep
         self._rng = rng
-        self._pause = _PAUSE_START
-        self._detail = ""
+        self._backoff = _INITIAL_BACKOFF
+        self._last_error = ""
 
     def run(self) -> SubmitResult:
-        while self._clock.now() < self._end:
+        while self._clock.now() < self._deadline:
             result = self._try_once()
             if isinstance(result, Unavailable):
-                self._detail = result.detail
-                self._wait()
+                self._last_error = result.detail
+                self._back_off()
                 continue
             return result
-        return Ambiguous(f"the platform gave no answer in time: {self._detail}")
+        return Ambiguous(f"the platform gave no answer in time: {self._last_error}")
 
-    def _wait(self) -> None:
-        self._sleep(self._pause * self._rng.uniform(0.5, 1.5) / SECOND)
-        self._pause = min(self._pause * 2, _PAUSE_LIMIT)
+    def _back_off(self) -> None:
+        self._sleep(self._backoff * self._rng.uniform(0.5, 1.5) / SECOND)
+        self._backoff = min(self._backoff * 2, _MAX_BACKOFF)
 
     def _try_once(self) -> SubmitResult | Unavailable:
-        """Read the root, then write; a lost answer is settled by the next reading."""
+        """Read the root, then write; a retry detects a write whose response was lost."""
         found = self._platform.read(ROOT_KEY)
         if isinstance(found, Unavailable):
             return found
@@ -165,21 +166,21 @@
             return Accepted(applied.generation)
         if root.generation != self._submission.base:
             return self._reject_conflict(root)
-        snapshot = self._merge(root)
-        if not isinstance(snapshot, _Merged):
-            return snapshot
-        unavailable = self._write_contents(snapshot.contents)
+        merged = self._merge(root)
+        if not isinstance(merged, _MergedConfig):
+            return merged
+        unavailable = self._write_contents(merged.contents)
         if unavailable is not None:
             return unavailable
-        return self._write_root(snapshot.root, version)
+        return self._write_root(merged.root, version)
 
     def _reject_conflict(self, root: Root) -> Rejected:
         base = self._submission.base
         detail = f"written against generation {base}, but {root.generation} is in force"
         return Rejected(detail, root.generation, tuple(root.since(base)))
 
-    def _merge(self, root: Root) -> _Merged | Rejected | Unavailable:
-        """Return the root and files that would be in force, checked as a whole."""
+    def _merge(self, root: Root) -> _MergedConfig | Rejected | Unavailable:
+        """Merge the submission into the active files and validate the result."""
         models: dict[str, FileModel] = {}
         for name, digest in root.files.items():
             if name in self._submission.files or name in self._submission.removed:
@@ -198,9 +199,9 @@
             return Rejected(detail, root.generation, faults=tuple(built))
         return self._encode(root, models)
 
-    def _encode(self, root: Root, models: Mapping[str, FileModel]) -> _Merged:
+    def _encode(self, root: Root, models: Mapping[str, FileModel]) -> _MergedConfig:
         encoded = {name: encode_file(model) for name, model in models.items()}
-        files = {name: digest_of(data) for name, data in sorted(encoded.items())}
+        files = {name: content_digest(data) for name, data in sorted(encoded.items())}
         changed = sorted({*self._submission.files, *self._submission.removed})
         change = Change(
             generation=root.generation + 1,
@@ -209,10 +210,10 @@
             wall=self._clock.wall(),
             files=changed,
         )
-        history = [*root.history, change][-_HISTORY:]
+        history = [*root.history, change][-_MAX_HISTORY:]
         new_root = Root(generation=change.generation, files=files, history=history)
         contents = {files[n]: encoded[n] for n in self._submission.files}
-        return _Merged(new_root, contents)
+        return _MergedConfig(new_root, contents)
 
     def _write_contents(self, contents: Mapping[str, bytes]) -> Unavailable | None:
         for digest, data in contents.items():
@@ -231,7 +232,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Merged:
+class _MergedConfig:
     root: Root
     contents: dict[str, bytes]
 
@@ -244,10 +245,10 @@
 
 
 def encode_file(model: FileModel) -> bytes:
-    """Return the bytes under which a file is kept: JSON with sorted keys."""
+    """Serialize a file as JSON with sorted keys, so that equal files have equal hashes."""
     return msgspec.json.encode(model, order="deterministic")
 
 
-def digest_of(data: bytes) -> str:
-    """Return the name of a content object."""
+def content_digest(data: bytes) -> str:
+    """Return the SHA-256 that names a content object."""
     return hashlib.sha256(data).hexdigest()
