--- a/src/canvasyoke/direct/_backend_availability.py
+++ b/src/canvasyoke/direct/_backend_availability.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 from canvasyoke.backend import BackendNotice
+from canvasyoke.direct._backend_checks import unavailability
 from canvasyoke.direct._backend_limits import Share
 from canvasyoke.direct._backend_notices import NoticeChange, SharedNotice
 from canvasyoke.direct._backend_streams import BackendStreams
 from canvasyoke.direct._member import Member
-from canvasyoke.direct._pass_over import unavailability
 from canvasyoke.state import Endpoint, EndpointState
 
 
@@ -27,29 +27,29 @@
                 total = notice.load.running + notice.load.waiting
                 member.peer_requests = max(0, total - member.own_requests)
                 member.reported_at = self.clock.now()
-            return self._words.apply(endpoint, notice)
+            return self._notices.apply(endpoint, notice)
 
     def merge_peer_notice(self, notice: SharedNotice) -> bool:
         """Apply a backend's notice relayed by another entry; return whether it is new."""
         with self._lock:
-            return self._words.apply_shared(notice)
+            return self._notices.apply_shared(notice)
 
     def notices_to_share(self) -> list[SharedNotice]:
         """Return the notices of listed backends that are still in force."""
         with self._lock:
-            notices = (self._words.to_share(m.endpoint) for m in self._members.values())
+            notices = (self._notices.to_share(m.endpoint) for m in self._members.values())
             return [notice for notice in notices if notice is not None]
 
     def set_share(self, share: Callable[[str], Share]) -> None:
         """Set the function that returns this entry's share of rate limits, by service."""
         with self._lock:
-            self._words.limits.share = share
+            self._notices.limits.share = share
 
     @property
     def has_limits(self) -> bool:
         """Return whether any backend has a rate limit."""
         with self._lock:
-            return self._words.limits.has_any
+            return self._notices.limits.has_any
 
     def services(self) -> frozenset[str]:
         """Return the services of all known backends."""
@@ -66,7 +66,7 @@
             if member is None or member.endpoint.address != endpoint.address:
                 return False
             # The rate limit is not checked: the request has taken its token already.
-            return not self._is_leaving(member) and not self._words.remaining_backoff(endpoint)
+            return not self._is_leaving(member) and not self._notices.remaining_backoff(endpoint)
 
     def time_until_available(self, service: str) -> int:
         """Return the milliseconds until a backend of a service is available.
@@ -85,7 +85,7 @@
         """Return this entry's requests per second to a service's rate-limited backends."""
         with self._lock:
             return sum(
-                self._words.limit_share(member.endpoint)
+                self._notices.limit_share(member.endpoint)
                 for member in self._members.values()
                 if member.endpoint.service == service and not self._is_leaving(member)
             )
@@ -110,7 +110,7 @@
     def backing_off_count(self) -> int:
         """Return the number of backends that asked this entry for backoff."""
         with self._lock:
-            return self._words.count_backing_off(
+            return self._notices.count_backing_off(
                 member.endpoint for member in self._members.values()
             )
 
@@ -118,13 +118,15 @@
     def rate_limited_count(self) -> int:
         """Return the number of backends that have a rate limit."""
         with self._lock:
-            return sum(1 for m in self._members.values() if self._words.limit_share(m.endpoint) > 0)
+            return sum(
+                1 for m in self._members.values() if self._notices.limit_share(m.endpoint) > 0
+            )
 
     @property
     def leaving_count(self) -> int:
         """Return the number of backends that announced that they are leaving."""
         with self._lock:
-            return self._words.count_leaving(member.endpoint for member in self._members.values())
+            return self._notices.count_leaving(member.endpoint for member in self._members.values())
 
     def _takes_requests(self, member: Member) -> bool:
         return not self._is_leaving(member) and not unavailability(self._evidence, member)
@@ -136,4 +138,4 @@
         """
         if member.endpoint.state is EndpointState.LEAVING:
             return True
-        return self._words.is_leaving(member.endpoint)
+        return self._notices.is_leaving(member.endpoint)
--- a/src/canvasyoke/direct/_pass_over.py
+++ b/src/canvasyoke/direct/_backend_checks.py
@@ -27,7 +27,7 @@
     """Sources of the checks, besides the backend's own record."""
 
     clock: Clock
-    words: BackendNotices
+    notices: BackendNotices
     health: BackendHealth
     groups: RankGroups
     domains: DomainReachability
@@ -44,14 +44,14 @@
 
 @UNAVAILABILITY_CHECKS.register("backoff")
 def _is_backing_off(evidence: BackendEvidence, member: Member) -> Unavailability | None:
-    backoff = evidence.words.remaining_backoff(member.endpoint)
+    backoff = evidence.notices.remaining_backoff(member.endpoint)
     return Unavailability(Reason.BACKOFF, backoff) if backoff else None
 
 
 @UNAVAILABILITY_CHECKS.register("limit")
 def _is_limited(evidence: BackendEvidence, member: Member) -> Unavailability | None:
     """Return the wait if this entry's share of the backend's rate limit is used up."""
-    wait = evidence.words.limit_wait(member.endpoint)
+    wait = evidence.notices.limit_wait(member.endpoint)
     return Unavailability(Reason.LIMITED, wait) if wait else None
 
 
@@ -64,7 +64,7 @@
 @SUSPICION_CHECKS.register("backoff elsewhere")
 def _is_backing_off_elsewhere(evidence: BackendEvidence, member: Member) -> bool:
     """Return whether it asked another entry for backoff, so that it is probably full."""
-    return evidence.words.has_peer_backoff(member.endpoint)
+    return evidence.notices.has_peer_backoff(member.endpoint)
 
 
 @SUSPICION_CHECKS.register("moved")
--- a/src/canvasyoke/direct/_backend_exchange.py
+++ b/src/canvasyoke/direct/_backend_exchange.py
@@ -40,7 +40,7 @@
         self._announce_position = announce_position
         self._clock = clock
         self._list_requested_at = -_LIST_REQUEST_INTERVAL
-        #: Sessions over which a whole list was received. Weak references, since ``closed`` is
+        #: Sessions over which a whole list was received. Weak references, since ``handle_close`` is
         #: not called for a session that its peer has replaced.
         self._synced: weakref.WeakSet[Session] = weakref.WeakSet()
 
@@ -48,11 +48,11 @@
         """Send the other entries a change that was read from the store."""
         self._broadcast(to_backend_news(change), None)
 
-    def closed(self, session: Session) -> None:
+    def handle_close(self, session: Session) -> None:
         """Forget a link that has ended."""
         self._synced.discard(session)
 
-    def peer_knows_up_to(self, position: int, age: int, session: Session) -> None:
+    def receive_position(self, position: int, age: int, session: Session) -> None:
         """Handle the position up to which another entry knows all changes."""
         now = self._clock.now()
         if session in self._synced and not self._roster.needs_list:
--- a/src/canvasyoke/direct/_backend_records.py
+++ b/src/canvasyoke/direct/_backend_records.py
@@ -14,6 +14,7 @@
 
 from canvasyoke._clock import SECOND, Clock
 from canvasyoke.coordination import RANKERS, Ejection, Ranker
+from canvasyoke.direct._backend_checks import BackendEvidence
 from canvasyoke.direct._backend_health import BackendHealth
 from canvasyoke.direct._backend_limits import BackendLimits
 from canvasyoke.direct._backend_notices import BackendNotices
@@ -22,7 +23,6 @@
 from canvasyoke.direct._home_share import assign_home_share
 from canvasyoke.direct._known_backends import BackendChange, KnownBackends
 from canvasyoke.direct._member import Member
-from canvasyoke.direct._pass_over import BackendEvidence
 from canvasyoke.direct._peer_loads import PeerLoad, PeerLoads
 from canvasyoke.direct._store_restore import StoreRestore
 from canvasyoke.state import Endpoint, StorePosition
@@ -63,7 +63,7 @@
     _home_share: frozenset[str] = frozenset()
     _groups: RankGroups = field(init=False)
     _health: BackendHealth = field(init=False)
-    _words: BackendNotices = field(init=False)
+    _notices: BackendNotices = field(init=False)
     #: Input of the availability checks.
     _evidence: BackendEvidence = field(init=False)
     _ranker: Ranker = field(init=False)
@@ -86,9 +86,9 @@
         self._known = KnownBackends(StoreRestore(self.clock))
         self._groups = RankGroups(self.clock)
         self._health = BackendHealth(self.clock)
-        self._words = BackendNotices(self.clock, BackendLimits(self.clock, self.rng))
+        self._notices = BackendNotices(self.clock, BackendLimits(self.clock, self.rng))
         self._evidence = BackendEvidence(
-            self.clock, self._words, self._health, self._groups, self._domains
+            self.clock, self._notices, self._health, self._groups, self._domains
         )
         self._ranker = RANKERS.get(_RANKER)(self.rng)
         self._confirmed_at = self.clock.now()
@@ -106,19 +106,19 @@
     @property
     def era(self) -> int:
         """Return how many times the store is known to have been restored from a copy."""
-        return self._known.store_return.era
+        return self._known.store_restore.era
 
     @property
     def needs_list(self) -> bool:
         """Return whether a list is needed to resolve doubted backends after a restore."""
         with self._lock:
-            return self._known.store_return.wants_list
+            return self._known.store_restore.needs_list
 
     @property
     def doubted(self) -> int:
         """Return the number of backends whose state in the store is not trusted."""
         with self._lock:
-            return len(self._known.store_return.doubted)
+            return len(self._known.store_restore.doubted)
 
     def merge(self, endpoints: Iterable[Endpoint], position: StorePosition) -> list[BackendChange]:
         """Merge another entry's list as of a position and return the changes."""
--- a/src/canvasyoke/direct/_backend_streams.py
+++ b/src/canvasyoke/direct/_backend_streams.py
@@ -23,7 +23,7 @@
                 for m in self._members.values()
                 if m.endpoint.service in services
                 and not self._groups.is_learned(m.endpoint.run)
-                and not self._words.remaining_backoff(m.endpoint)
+                and not self._notices.remaining_backoff(m.endpoint)
             ]
 
     def learn_group(self, run: str, group: str) -> bool:
@@ -71,7 +71,7 @@
                 for m in self._members.values()
                 if m.endpoint.service == service
                 and m.endpoint.domain == self.domain
-                and not self._words.remaining_backoff(m.endpoint)
+                and not self._notices.remaining_backoff(m.endpoint)
             ]
             return [
                 e
--- a/src/canvasyoke/direct/_caller_port.py
+++ b/src/canvasyoke/direct/_caller_port.py
@@ -20,7 +20,7 @@
     #: Path and query as sent by the caller.
     target: str
     #: Timeout of the caller in milliseconds; 0 if not given.
-    patience: int
+    timeout: int
     #: API key; empty if there is none.
     api_key: str
     #: Id of the last event that the caller received of a stream; empty if it does not resume one.
--- a/src/canvasyoke/direct/_callers.py
+++ b/src/canvasyoke/direct/_callers.py
@@ -122,30 +122,30 @@
                 call.slot.shut()
 
     def _relay(self, call: DirectCall, start: StartResponse) -> Iterator[bytes]:
-        for piece in self._forwarder.run(call):
-            match piece:
+        for part in self._forwarder.run(call):
+            match part:
                 case AnswerHead():
-                    _start_answer(start, piece)
+                    _start_answer(start, part)
                 case bytes():
-                    self._metrics.chunk_sent(call, self._clock.now())
-                    yield piece
+                    self._metrics.record_chunk(call, self._clock.now())
+                    yield part
                 case AnswerEnd():
                     self._log_outcome(call, _ANSWERED, "")
                 case CallerDisconnected():
                     self._log_outcome(call, "caller left", "")
                     raise AnswerTruncated("the caller disconnected")
                 case IncompleteAnswer():
-                    self._log_outcome(call, "broke off", piece.detail)
-                    raise AnswerTruncated(piece.detail)
+                    self._log_outcome(call, "broke off", part.detail)
+                    raise AnswerTruncated(part.detail)
                 case ErrorAnswer():
-                    yield self._refuse(start, piece, call.request_id, call)
+                    yield self._refuse(start, part, call.request_id, call)
 
     def _log_outcome(self, call: DirectCall, outcome: str, detail: str) -> None:
         took = self._clock.now() - call.arrived_at
-        self._metrics.request_finished(outcome, took)
+        self._metrics.record_request(outcome, took)
         late = call.lateness if outcome == _ANSWERED else None
         if late is not None:
-            self._metrics.answer_completed(call, late)
+            self._metrics.record_answer(call, late)
         _log.info(
             outcome,
             request_id=call.request_id,
@@ -166,7 +166,7 @@
         if call is not None:
             self._log_outcome(call, f"refused {refusal.status}", refusal.detail)
         else:
-            self._metrics.request_finished(f"refused {refusal.status}", 0)
+            self._metrics.record_request(f"refused {refusal.status}", 0)
             _log.info(
                 f"refused {refusal.status}",
                 request_id=request_id,
@@ -213,7 +213,7 @@
         body: bytes,
         now: int,
     ) -> DirectCall:
-        patience = request.patience or _DEFAULT_TIMEOUT
+        timeout = request.timeout or _DEFAULT_TIMEOUT
         priority = route.priority
         if organisation is not None and organisation.priority is not None:
             priority = organisation.priority
@@ -229,7 +229,7 @@
             priority=priority,
             table_version=table.version,
             arrived_at=now,
-            deadline=now + min(patience, route.timeout),
+            deadline=now + min(timeout, route.timeout),
             is_disconnected=environ.get("waitress.client_disconnected", lambda: False),
             last_event=request.resume_after,
         )
--- a/src/canvasyoke/direct/_crash_cases.py
+++ b/src/canvasyoke/direct/_crash_cases.py
@@ -22,7 +22,7 @@
 MIN_ENDED_RUNS: Final = 3
 #: Backends that end within this many milliseconds of one another are assumed to have one external
 #: cause, such as the loss of a machine or failure domain.
-_SIMULTANEOUS: Final = 100
+_SIMULTANEITY_WINDOW: Final = 100
 #: Milliseconds to wait for a response to another copy of a request whose backends all ended at the
 #: same time.
 _ANSWER_WAIT: Final = 2_000
@@ -112,10 +112,10 @@
     times = [ended_at[run] for run in runs]
     groups_with, groups_without = 0, 0
     for group in _group_by_time({*runs, *background}, ended_at):
-        beside = [run for run in group if run not in runs]
-        if len(beside) < len(group):
+        unrelated = [run for run in group if run not in runs]
+        if len(unrelated) < len(group):
             groups_with += 1
-            groups_without += len(beside)
+            groups_without += len(unrelated)
         elif any(abs(ended_at[group[0]] - at) <= _BACKGROUND_WINDOW for at in times):
             groups_without += 1
     if groups_with == 1 and (groups_without or now - max(times) < _ANSWER_WAIT):
@@ -128,7 +128,7 @@
     groups: list[list[str]] = []
     last_at = 0
     for run in sorted(runs, key=lambda run: (ended_at[run], run)):
-        if not groups or ended_at[run] - last_at > _SIMULTANEOUS:
+        if not groups or ended_at[run] - last_at > _SIMULTANEITY_WINDOW:
             groups.append([])
         groups[-1].append(run)
         last_at = ended_at[run]
--- a/src/canvasyoke/direct/_crash_detector.py
+++ b/src/canvasyoke/direct/_crash_detector.py
@@ -59,7 +59,7 @@
     def check(self, call: DirectCall, endpoint: Endpoint, detail: str) -> BackendLiveness:
         """Return the state of the backend that ``call`` was sent to, and log it."""
         liveness = self._check_port(endpoint)
-        self._metrics.exchange_failed(liveness)
+        self._metrics.record_exchange_failure(liveness)
         _log.warning(
             "exchange broke",
             request_id=call.request_id,
--- a/src/canvasyoke/direct/_demand_shares.py
+++ b/src/canvasyoke/direct/_demand_shares.py
@@ -40,12 +40,12 @@
         #: Number of entries that choose among the same backends, this one included, and
         #: whether each hears all others.
         self._entries = 1
-        self._hears_all = True
+        self._is_full_mesh = True
 
-    def set_fleet(self, entries: int, hears_all: bool) -> None:
+    def set_fleet(self, entries: int, is_full_mesh: bool) -> None:
         """Set the number of entries and whether each hears all others."""
         with self._lock:
-            self._entries, self._hears_all = max(1, entries), hears_all
+            self._entries, self._is_full_mesh = max(1, entries), is_full_mesh
 
     def report_demand(self, entry: str, demands: Mapping[str, float]) -> None:
         """Store another entry's demand for services with a rate limit."""
@@ -62,7 +62,7 @@
         own = self._own_demand(service)
         with self._lock:
             equal = 1 / self._entries
-            if not self._hears_all:
+            if not self._is_full_mesh:
                 return equal
             oldest = self._clock.now() - _MAX_REPORT_AGE
             self._reports = {name: r for name, r in self._reports.items() if r.at >= oldest}
--- a/src/canvasyoke/direct/_endpoint_follower.py
+++ b/src/canvasyoke/direct/_endpoint_follower.py
@@ -112,12 +112,12 @@
                     position = 0
                 case seen:
                     position = 0
-                    self._availability.failed(seen)
+                    self._availability.record_failure(seen)
             self._apply_deferred()
 
     def _mark_in_sync(self) -> None:
         """Record a usable answer: the list is in sync with the store."""
-        self._availability.succeeded()
+        self._availability.record_success()
         self._roster.confirm_list()
 
     def _watch_timeout(self) -> int:
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -67,7 +67,7 @@
         budget: FleetRetryBudget,
         crash_detector: CrashDetector,
         quarantine: Quarantine,
-        words: NoticeHandler,
+        notice_handler: NoticeHandler,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -76,7 +76,7 @@
         self._budget = budget
         self._crash_detector = crash_detector
         self._quarantine = quarantine
-        self._words = words
+        self._notice_handler = notice_handler
         self._clock = clock
         self._refusals = RefusalPolicy(roster, clock, rng)
         self._retries = RetryPolicy(roster, budget, clock)
@@ -152,7 +152,7 @@
         if call.is_disconnected():
             call.slot.shut()
         sent = self._port.send(endpoint, self._outbound(call), _CONNECT_TIMEOUT, call.slot)
-        self._words.handle(endpoint, sent.notice)
+        self._notice_handler.handle(endpoint, sent.notice)
         self._record_reachability(call, endpoint, sent)
         if isinstance(sent, NotRun) and not sent.has_arrived:
             self._roster.record_not_sent(endpoint.run)
--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -45,7 +45,7 @@
     Methods that change backends return the changes.
     """
 
-    store_return: StoreRestore
+    store_restore: StoreRestore
     #: Whether a list has been read.
     is_known: bool = False
     #: Position up to which all changes are known; 0 before the first list.
@@ -82,7 +82,7 @@
                 changes += self.put(endpoint)
         self.position = max(self.position, position)
         self.is_known = True
-        self.store_return.listed()
+        self.store_restore.record_list()
         return changes
 
     def merge_from_store(
@@ -115,9 +115,9 @@
             return []
         override = self._override_for(endpoint)
         if override is None and endpoint.state is EndpointState.LEAVING:
-            self.store_return.doubted.discard(endpoint.id)  # the store agrees again
+            self.store_restore.doubted.discard(endpoint.id)  # the store agrees again
         if override is not None:
-            self.store_return.doubted.add(endpoint.id)
+            self.store_restore.doubted.add(endpoint.id)
             if override.gone:
                 self._discard(endpoint.id, override.position)
                 return [override]
@@ -136,7 +136,7 @@
         known = self._endpoints.get(endpoint_id)
         if known is not None and known.position > position:
             return []
-        self.store_return.doubted.discard(endpoint_id)
+        self.store_restore.doubted.discard(endpoint_id)
         self._discard(endpoint_id, position)
         return [BackendChange(known, True, position)] if known is not None else []
 
@@ -176,15 +176,15 @@
         Also corrects a change that stems from the restored copy if newer state is known.
         """
         may_be_from_copy = not change.gone and change.endpoint.state is EndpointState.READY
-        if may_be_from_copy and change.endpoint.id in self.store_return.doubted:
+        if may_be_from_copy and change.endpoint.id in self.store_restore.doubted:
             return self._correction(change)
-        if era_of(change.position) < self.store_return.era:
+        if era_of(change.position) < self.store_restore.era:
             return None
         is_past = self.is_known and change.position <= self.position
         if change.gone or not is_past or change.endpoint.id in self._endpoints:
             return None
         # Just after a restore the position may equal the one at which the copy has it.
-        is_after_restore = self.store_return.is_settling
+        is_after_restore = self.store_restore.is_settling
         return BackendChange(change.endpoint, True, self.position, was_lost=is_after_restore)
 
     def advance_to(self, position: StorePosition) -> None:
@@ -194,26 +194,26 @@
             self.position = max(self.position, position)
 
     def _observe_position(self, position: StorePosition) -> None:
-        self.store_return.observe_position(position, self.is_known)
+        self.store_restore.observe_position(position, self.is_known)
 
     def _may_be_rewritten(self, endpoint: Endpoint) -> bool:
         """Tell whether a backend that a list lacks may be alive and about to rewrite its entry."""
-        is_of_earlier_era = era_of(endpoint.position) < self.store_return.era
-        return is_of_earlier_era and self.store_return.lacks_backends
+        is_of_earlier_era = era_of(endpoint.position) < self.store_restore.era
+        return is_of_earlier_era and self.store_restore.lacks_backends
 
     def _override_for(self, update: Endpoint) -> BackendChange | None:
         """Return known state of a backend that the restored copy may lack; ``None`` if none."""
         known = self._endpoints.get(update.id)
         if known is None:
             gone = self._removed.get(update.id, 0)
-            if gone and self.store_return.is_doubtful(update.id, gone, update.position):
+            if gone and self.store_restore.is_doubtful(update.id, gone, update.position):
                 return BackendChange(update, True, update.position, was_lost=True)
             return None
         adds_leaving = known.state is EndpointState.LEAVING and update.state is EndpointState.READY
         is_same_run = (known.run, known.address) == (update.run, update.address)
         if not (adds_leaving and is_same_run):
             return None
-        if not self.store_return.is_doubtful(update.id, known.position, update.position):
+        if not self.store_restore.is_doubtful(update.id, known.position, update.position):
             return None
         leaving = replace(update, state=EndpointState.LEAVING)
         return BackendChange(leaving, False, update.position, was_lost=True)
@@ -226,11 +226,11 @@
         known = self._endpoints.get(update.id)
         is_end = gone or update.state is EndpointState.LEAVING
         is_late = known is not None and era_of(update.position) < era_of(known.position)
-        if known is None or not (is_end and is_late and self.store_return.is_settling):
+        if known is None or not (is_end and is_late and self.store_restore.is_settling):
             return update
         if known.run != update.run and not gone:
             return update
-        self.store_return.doubted.add(update.id)
+        self.store_restore.doubted.add(update.id)
         return replace(update, position=known.position)
 
     def _correction(self, change: BackendChange) -> BackendChange | None:
@@ -251,13 +251,13 @@
         """
         if update.position != known.position:
             return update.position < known.position
-        is_settled = update.id in self.store_return.doubted and not self.store_return.is_settling
+        is_settled = update.id in self.store_restore.doubted and not self.store_restore.is_settling
         return known.state is EndpointState.LEAVING and not is_settled
 
     def _was_missed(self, endpoint: Endpoint) -> bool:
         """Tell whether the watch should have reported a listed backend before."""
-        if endpoint.id in self.store_return.doubted:
-            return not self.store_return.is_settling
+        if endpoint.id in self.store_restore.doubted:
+            return not self.store_restore.is_settling
         known = self._endpoints.get(endpoint.id)
         if known is not None and _is_only_relisted(endpoint, known):
             return False
@@ -272,7 +272,7 @@
         if known is None or endpoint.position != newest or change is None:
             return endpoint.position <= newest
         # Of two states at one position the one without an end is from the restored copy.
-        is_after_restore = change.was_lost or self.store_return.is_settling
+        is_after_restore = change.was_lost or self.store_restore.is_settling
         is_end = change.gone or endpoint.state is EndpointState.LEAVING
         return not (is_after_restore and is_end and known.state is EndpointState.READY)
 
--- a/src/canvasyoke/direct/_metrics.py
+++ b/src/canvasyoke/direct/_metrics.py
@@ -41,11 +41,11 @@
         """Count a field of a backend report that could not be parsed."""
         self._unreadable.add(field)
 
-    def exchange_failed(self, liveness: str) -> None:
+    def record_exchange_failure(self, liveness: str) -> None:
         """Count a failed exchange, by the state of its backend."""
         self._failed_exchanges.add(liveness)
 
-    def chunk_sent(self, call: DirectCall, now: int) -> None:
+    def record_chunk(self, call: DirectCall, now: int) -> None:
         """Time the first chunk of a response and the pauses after it."""
         if not call.first_chunk_at:
             call.first_chunk_at = now
@@ -54,12 +54,12 @@
             call.longest_gap = max(call.longest_gap, now - call.last_chunk_at)
         call.last_chunk_at = now
 
-    def request_finished(self, outcome: str, took: int) -> None:
+    def record_request(self, outcome: str, took: int) -> None:
         """Count a finished request that took ``took`` milliseconds."""
         self._outcomes.add(outcome)
         self._duration.record(took)
 
-    def answer_completed(self, call: DirectCall, late: Lateness) -> None:
+    def record_answer(self, call: DirectCall, late: Lateness) -> None:
         """Count a complete response, with its longest pause and its lateness."""
         if call.longest_gap:
             self._pauses.record(call.longest_gap)
--- a/src/canvasyoke/direct/_notice_exchange.py
+++ b/src/canvasyoke/direct/_notice_exchange.py
@@ -27,7 +27,7 @@
         """Send the other entries a notice that this entry has received."""
         self._broadcast(BackendWords([_to_message(notice)]), None)
 
-    def opened(self, session: Session) -> None:
+    def handle_open(self, session: Session) -> None:
         """Send a newly linked entry all notices that are still in effect."""
         notices = self._roster.notices_to_share()
         if notices:
--- a/src/canvasyoke/direct/_peer_loads.py
+++ b/src/canvasyoke/direct/_peer_loads.py
@@ -20,7 +20,7 @@
     #: Send time on that entry's clock, which orders its updates.
     sent_at: int
     #: Requests in progress by backend.
-    under_way: Mapping[str, int]
+    in_flight: Mapping[str, int]
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
             return False
         self.remove(entry)
         self._received[entry] = _ReceivedLoad(load, now)
-        self._sums.update(load.under_way)
+        self._sums.update(load.in_flight)
         self._unrelayed.add(entry)
         return True
 
@@ -79,8 +79,8 @@
 
     def _subtract(self, load: PeerLoad) -> None:
         """Subtract a load from the sums, and drop backends whose sum is zero."""
-        self._sums.subtract(load.under_way)
-        for backend in load.under_way:
+        self._sums.subtract(load.in_flight)
+        for backend in load.in_flight:
             if not self._sums[backend]:
                 del self._sums[backend]
 
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -108,18 +108,18 @@
         self._shares = DemandShares(budget.request_rate, clock)
         roster.set_share(self._shares.share)
         self._backends = BackendExchange(roster, self._broadcast, self._send_load_now, clock)
-        self._words = NoticeExchange(roster, self._broadcast)
+        self._notice_exchange = NoticeExchange(roster, self._broadcast)
         #: Last result of the discovery, until the exchange thread takes it.
         self._discovered: list[Node] | None = None
-        self._discovery_task = threading.Thread(
+        self._discovery_thread = threading.Thread(
             target=self._run_discovery, name="find-entries", daemon=True
         )
-        self._task = threading.Thread(target=self._run, name="peers", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="peers", daemon=True)
 
     def start(self) -> None:
         """Start the discovery and the exchange."""
-        self._discovery_task.start()
-        self._task.start()
+        self._discovery_thread.start()
+        self._thread.start()
 
     @property
     def linked(self) -> int:
@@ -146,13 +146,13 @@
         """Announce the pace of a backend."""
         self._broadcast(PaceNews(backend, pace))
 
-    def announce_silence(self, backend: str) -> None:
+    def announce_unresponsive(self, backend: str) -> None:
         """Announce that a backend does not respond."""
         self._broadcast(SilenceNews(backend))
 
-    def announce_word(self, told: SharedNotice) -> None:
+    def announce_notice(self, notice: SharedNotice) -> None:
         """Announce what a backend has reported about itself."""
-        self._words.share(told)
+        self._notice_exchange.share(notice)
 
     def announce_case(self, fingerprint: str, case: CrashCase) -> None:
         """Announce a request during which backends have crashed."""
@@ -209,13 +209,13 @@
     def _handle_open(self, session: Session) -> None:
         _log.info("linked", peer=session.peer, incarnation=session.incarnation)
         session.send(self._build_load(is_local=session.peer in self._domain_peers, relayed=[]))
-        self._words.opened(session)
+        self._notice_exchange.handle_open(session)
         cases = self._quarantine.cases()
         if cases:
             session.send(CrashList([to_crash_news(name, case) for name, case in cases.items()]))
 
     def _handle_close(self, session: Session) -> None:
-        self._backends.closed(session)
+        self._backends.handle_close(session)
         if self._links.is_mesh:
             self._roster.remove_peer(session.peer)
         _log.info("link lost", peer=session.peer)
@@ -244,7 +244,7 @@
                 if self._roster.mark_unresponsive(message.backend):
                     self._broadcast(message, exclude=session)
             case BackendWords():
-                self._words.receive(session, message)
+                self._notice_exchange.receive(session, message)
             case CrashNews():
                 self._handle_crash_news(message)
             case CrashList():
@@ -264,11 +264,11 @@
             self._roster.update_peer_load(session.peer, PeerLoad(load.told_at, load.under_way))
         for relayed in load.relayed:
             if relayed.entry != self._own.name:
-                told = PeerLoad(relayed.told_at, relayed.under_way)
-                self._roster.update_peer_load(relayed.entry, told)
+                peer_load = PeerLoad(relayed.told_at, relayed.under_way)
+                self._roster.update_peer_load(relayed.entry, peer_load)
         self.election.receive([WatcherStatus(w.name, w.age, w.is_lost) for w in load.watchers])
         self._tables.observe_version(load.config_version, session)
-        self._backends.peer_knows_up_to(load.backends_revision, load.backends_age, session)
+        self._backends.receive_position(load.backends_revision, load.backends_age, session)
 
     def _build_load(self, is_local: bool, relayed: list[RelayedLoad]) -> EntryLoad:
         """Return the update for entries of this domain, or of others if not ``is_local``."""
@@ -318,13 +318,13 @@
                 session.send(load)
 
     def _load_state(self, includes_load: bool) -> Hashable:
-        under_way = tuple(sorted(self._roster.own_load().items())) if includes_load else ()
+        in_flight = tuple(sorted(self._roster.own_load().items())) if includes_load else ()
         has_limits = self._roster.has_limits
-        return self._view.current.version, self._roster.position, under_way, has_limits
+        return self._view.current.version, self._roster.position, in_flight, has_limits
 
     def _unrelayed(self) -> list[RelayedLoad]:
         return [
-            RelayedLoad(entry, load.sent_at, dict(load.under_way))
+            RelayedLoad(entry, load.sent_at, dict(load.in_flight))
             for entry, load in self._roster.unrelayed_loads().items()
         ]
 
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -74,7 +74,7 @@
         self._settings_file = WatchedFile(settings_path)
         self._was_isolated = False
         self._stopping = threading.Event()
-        self._reload = threading.Event()
+        self._reload_requested = threading.Event()
         self._wakeup = threading.Event()
         self._view = TableView(self._on_new_table)
         self._roster = Roster(settings.domain, self._clock, rng)
@@ -110,18 +110,18 @@
         )
         port = DIRECT_BACKENDS.get(settings.adapter)()
         crash_detector = CrashDetector(self._roster, self._metrics)
-        words = NoticeHandler(self._roster, self._metrics, self._peers.announce_word)
+        notice_handler = NoticeHandler(self._roster, self._metrics, self._peers.announce_notice)
         forwarder = Forwarder(
             port,
             self._roster,
             self._budget,
             crash_detector,
             self._quarantine,
-            words,
+            notice_handler,
             self._clock,
             rng,
         )
-        self._groups = GroupLearner(
+        self._group_learner = GroupLearner(
             port,
             self._roster,
             lambda: self._view.current,
@@ -129,17 +129,17 @@
             self._peers.announce_group,
             self._clock,
         )
-        self._paces = PaceMonitor(
+        self._pace_monitor = PaceMonitor(
             port,
             self._roster,
             lambda: self._view.current,
             self._peers.is_watching,
             self._peers.announce_pace,
         )
-        self._domains = DomainProber(
+        self._domain_prober = DomainProber(
             self._roster.probe_addresses, self._roster.record_connect_success
         )
-        self._callers = CallerApp(
+        self._caller_app = CallerApp(
             CALLER_PORTS.get(settings.adapter)(),
             lambda: self._view.current,
             forwarder,
@@ -150,7 +150,7 @@
         )
         self._add_gauges()
         self._caller_server = CallerServer(
-            self._callers,
+            self._caller_app,
             settings.http,
             MAX_CONCURRENT_REQUESTS + _SPARE_THREADS,
             self._clock,
@@ -168,14 +168,14 @@
         """Serve until a stop signal, then drain; return the exit code."""
         signal.signal(signal.SIGTERM, lambda *_: self._on_signal(self._stopping))
         signal.signal(signal.SIGINT, lambda *_: self._on_signal(self._stopping))
-        signal.signal(signal.SIGHUP, lambda *_: self._on_signal(self._reload))
+        signal.signal(signal.SIGHUP, lambda *_: self._on_signal(self._reload_requested))
         self._table_follower.start()
         self._endpoint_follower.start()
         self._peers.start()
-        self._groups.start()
-        self._paces.start()
-        self._domains.start()
-        self._callers.start()
+        self._group_learner.start()
+        self._pace_monitor.start()
+        self._domain_prober.start()
+        self._caller_app.start()
         for server in (self._readiness_server, self._admin_server, self._caller_server):
             server.start()
         _log.info("started", instance=self._settings.instance, http=self._settings.http)
@@ -192,8 +192,8 @@
 
     def _check_changes(self) -> None:
         """Check for changes of the settings file and of reachability."""
-        if self._settings_file.has_changed() or self._reload.is_set():
-            self._reload.clear()
+        if self._settings_file.has_changed() or self._reload_requested.is_set():
+            self._reload_requested.clear()
             self._load_settings()
         isolated = self._roster.is_isolated()
         if isolated != self._was_isolated:
@@ -212,15 +212,15 @@
 
     def _drain(self) -> None:
         """Withdraw readiness, complete the requests in progress and exit."""
-        _log.info("stopping", in_flight=self._callers.in_flight)
+        _log.info("stopping", in_flight=self._caller_app.in_flight)
         self._caller_server.set_draining(True)
         pause = threading.Event()
         pause.wait(_BALANCER_GRACE / SECOND)
         # A later request might not finish before the process is killed; the balancer can send it to
         # another entry.
-        self._callers.close()
+        self._caller_app.close()
         self._caller_server.close_idle()
-        while self._callers.in_flight:
+        while self._caller_app.in_flight:
             pause.wait(_DRAIN_POLL_INTERVAL / SECOND)
             self._caller_server.close_idle()
         pause.wait(_FLUSH_TIME / SECOND)
@@ -230,7 +230,7 @@
         """Avoid an unresponsive backend, and notify the other entries."""
         if self._roster.mark_unresponsive(backend):
             _log.warning("backend says nothing", backend=backend)
-            self._peers.announce_silence(backend)
+            self._peers.announce_unresponsive(backend)
 
     def _on_new_table(self, table: RoutingTable) -> None:
         self._caller_server.set_limits(_server_limits(table.limits))
@@ -250,7 +250,9 @@
     def _add_gauges(self) -> None:
         gauge = self._metrics.all.gauge
         gauge(
-            "canvasyoke_requests_in_flight", "Requests held now.", lambda: self._callers.in_flight
+            "canvasyoke_requests_in_flight",
+            "Requests held now.",
+            lambda: self._caller_app.in_flight,
         )
         gauge(
             "canvasyoke_config_version",
--- a/src/canvasyoke/direct/_roster.py
+++ b/src/canvasyoke/direct/_roster.py
@@ -12,10 +12,10 @@
 from canvasyoke.coordination import Candidate, RouteRequest, filter_candidates
 from canvasyoke.direct._admission import ADMISSIONS
 from canvasyoke.direct._backend_availability import BackendAvailability
+from canvasyoke.direct._backend_checks import is_suspect, unavailability
 from canvasyoke.direct._backend_records import FleetView
 from canvasyoke.direct._choice import BackendQuery, Chosen, NoneAvailable
 from canvasyoke.direct._member import Member
-from canvasyoke.direct._pass_over import is_suspect, unavailability
 from canvasyoke.observe import part_logger
 from canvasyoke.protocol import Reason
 from canvasyoke.state import Endpoint
@@ -49,10 +49,10 @@
                 len(self._fleet.domain_peers) + 1,
             )
             fastest = self._groups.fastest_pause()
-            has_words = self._words.has_any
+            has_notices = self._notices.has_any
             found = filter_candidates(
                 [
-                    self._candidate(m, fastest, has_words)
+                    self._candidate(m, fastest, has_notices)
                     for m in self._members.values()
                     if m.endpoint.service == query.service
                 ],
@@ -67,11 +67,11 @@
                 return NoneAvailable(Reason.OVERLOADED)
             member.own_requests += 1
             member.ejection.record_request()
-            self._words.record_sent(member.endpoint)
+            self._notices.record_sent(member.endpoint)
             update_age = self.clock.now() - member.updated_at
             return Chosen(member.endpoint, best.load, update_age, self._list_age())
 
-    def _candidate(self, member: Member, fastest: float, has_words: bool) -> Candidate:
+    def _candidate(self, member: Member, fastest: float, has_notices: bool) -> Candidate:
         endpoint = member.endpoint
         return Candidate(
             instance=endpoint.run,
@@ -81,7 +81,7 @@
             leaving=self._is_leaving(member),
             healthy=True,
             ejected=is_suspect(self._evidence, member),
-            unavailable=unavailability(self._evidence, member) if has_words else None,
+            unavailable=unavailability(self._evidence, member) if has_notices else None,
             slots=endpoint.slots,
             queue_limit=0,
             reported_load=self._load(member),
@@ -173,7 +173,7 @@
         with self._lock:
             member = self._members.get(run)
             if member is not None:
-                self._words.refund(member.endpoint)
+                self._notices.refund(member.endpoint)
 
     def record_address_conflict(self, run: str) -> None:
         """Record that another run answered at the address of this one."""
--- a/src/canvasyoke/direct/_store_follower.py
+++ b/src/canvasyoke/direct/_store_follower.py
@@ -71,7 +71,7 @@
             return CALL_TIMEOUT
         return self._rng.randint(_MIN_TIMEOUT, CALL_TIMEOUT)
 
-    def failed(self, cause: Unavailable | Unusable) -> None:
+    def record_failure(self, cause: Unavailable | Unusable) -> None:
         """Record a call without a usable answer, and wait for the backoff."""
         if not self._lost_at:
             self._lost_at = self._clock.now()
@@ -96,7 +96,7 @@
             self._is_suspended = False
             self._lost_at = self._clock.now() - _EXPIRY_TIME
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a usable answer."""
         self._backoff = _BACKOFF_START
         if self._lost_at:
@@ -115,11 +115,11 @@
         self._clock = clock
         self._stop = threading.Event()
         self._availability = StoreAvailability(what, clock, rng, self._pause)
-        self._task = threading.Thread(target=self._run, name=f"follow-{what}", daemon=True)
+        self._thread = threading.Thread(target=self._run, name=f"follow-{what}", daemon=True)
 
     def start(self) -> None:
         """Start following."""
-        self._task.start()
+        self._thread.start()
 
     @property
     def is_lost(self) -> bool:
--- a/src/canvasyoke/direct/_store_restore.py
+++ b/src/canvasyoke/direct/_store_restore.py
@@ -61,17 +61,19 @@
         return at is not None and self._clock.now() - at < duration
 
     @property
-    def wants_list(self) -> bool:
+    def needs_list(self) -> bool:
         """Whether a new list is needed because the restore has settled."""
         return self._is_pending and not self.is_settling
 
-    def is_doubtful(self, backend: str, known_at: StorePosition, told_at: StorePosition) -> bool:
+    def is_doubtful(
+        self, backend: str, known_position: StorePosition, update_position: StorePosition
+    ) -> bool:
         """Return whether an update of a backend may be older than its known state."""
         if not self.is_settling:
             return False
-        return backend in self.doubted or era_of(known_at) < era_of(told_at)
+        return backend in self.doubted or era_of(known_position) < era_of(update_position)
 
-    def listed(self) -> None:
+    def record_list(self) -> None:
         """Record a list; once the restore has settled, it resolves all doubts."""
         if not self.is_settling:
             self._is_pending = False
--- a/src/canvasyoke/direct/_table_follower.py
+++ b/src/canvasyoke/direct/_table_follower.py
@@ -68,7 +68,7 @@
         self._view = view
         self._is_watching = is_watching
 
-    def _look(self, position: StorePosition) -> TableWatchResult:
+    def _fetch(self, position: StorePosition) -> TableWatchResult:
         if position:
             return self._store.watch_table(position, WATCH_TIMEOUT)
         return self._store.table(self._availability.timeout)
@@ -82,14 +82,14 @@
                 self._pause(IDLE_INTERVAL)
                 continue
             self._availability.resume()
-            match self._look(position):
+            match self._fetch(position):
                 case TableRead() as seen:
-                    self._availability.succeeded()
+                    self._availability.record_success()
                     position = seen.position
                     self._view.adopt(seen.table, seen.document, "store")
                     self._pause(PAUSE_AFTER_CHANGES)
                 case NoChange() as seen:
-                    self._availability.succeeded()
+                    self._availability.record_success()
                     position = position or seen.position
                     self._pause(PAUSE_AFTER_TIMEOUT)
                 case HistoryGone():
@@ -101,4 +101,4 @@
                     position = 0
                 case seen:
                     position = 0
-                    self._availability.failed(seen)
+                    self._availability.record_failure(seen)
--- a/src/canvasyoke/direct/tests/calls.py
+++ b/src/canvasyoke/direct/tests/calls.py
@@ -62,9 +62,9 @@
     quarantine = quarantine or Quarantine(clock, lambda _name, _case: None)
     metrics = DirectMetrics()
     crash_detector = CrashDetector(roster, metrics, lambda _address, _timeout: reach)
-    words = NoticeHandler(roster, metrics, lambda _told: None)
+    notice_handler = NoticeHandler(roster, metrics, lambda _notice: None)
     return Forwarder(
-        port, roster, budget, crash_detector, quarantine, words, clock, random.Random(1)
+        port, roster, budget, crash_detector, quarantine, notice_handler, clock, random.Random(1)
     )
 
 
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -186,7 +186,7 @@
                 pairs.add((min(node.name, name), max(node.name, name)))
         return pairs
 
-    def keep_links(self) -> None:
+    def reconcile_links(self) -> None:
         """Open missing links, and close those that are no longer wanted."""
         wanted = self.wanted()
         for name, entry in self.entries.items():
@@ -224,10 +224,10 @@
         self.delivered += delivered
         return delivered > 0
 
-    def pass_turns(self, turns: int) -> None:
+    def run_turns(self, turns: int) -> None:
         for _ in range(turns):
             self.clock.advance(TURN)
-            self.keep_links()
+            self.reconcile_links()
             for entry in self.entries.values():
                 entry.step()
             self.deliver_hop()
--- a/src/canvasyoke/direct/tests/restored_fleet.py
+++ b/src/canvasyoke/direct/tests/restored_fleet.py
@@ -105,16 +105,16 @@
                 changes = entry.roster.remove(change.endpoint.id, change.position)
             else:
                 changes = entry.roster.put(change.endpoint)
-            for told in changes:
-                entry.peers.announce_backend(told)
+            for applied in changes:
+                entry.peers.announce_backend(applied)
             entry.roster.advance_position(change.position)
         entry.watched = len(self.history)
         entry.roster.advance_position(self.at)
 
-    def pass_turns(self, turns: int) -> None:
+    def run_turns(self, turns: int) -> None:
         """Advance time, with the rewrites and the expiry that follow a restore."""
         for _ in range(turns):
-            super().pass_turns(1)
+            super().run_turns(1)
             now = self.clock.now()
             if self._rewrite_at and now >= self._rewrite_at:
                 self._rewrite_at = 0
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -197,13 +197,13 @@
     assert line.assign("ink", 100, 0.001) == 30_000
 
 
-def shares_of(demands: dict[str, float], entries: int, hears_all: bool = True) -> list[float]:
+def shares_of(demands: dict[str, float], entries: int, is_full_mesh: bool = True) -> list[float]:
     """Return the share of each entry after all have reported their demand to each other."""
     clock = ManualClock(start=10_000)
     found = []
     for own, demand in demands.items():
         shares = DemandShares(lambda _service, demand=demand: demand, clock)  # type: ignore[misc]
-        shares.set_fleet(entries, hears_all)
+        shares.set_fleet(entries, is_full_mesh)
         for other, theirs in demands.items():
             if other != own:
                 shares.report_demand(other, {"ink": theirs})
@@ -219,7 +219,7 @@
 
 def test_shares_are_equal_without_demand_or_without_full_mesh() -> None:
     assert shares_of({"e-1": 0.0, "e-2": 0.0}, entries=2) == [0.5, 0.5]
-    assert shares_of({"e-1": 9.0, "e-2": 1.0}, entries=2, hears_all=False) == [0.5, 0.5]
+    assert shares_of({"e-1": 9.0, "e-2": 1.0}, entries=2, is_full_mesh=False) == [0.5, 0.5]
 
 
 def test_entries_that_have_not_reported_keep_a_share() -> None:
--- a/src/canvasyoke/direct/tests/test_backend_notices.py
+++ b/src/canvasyoke/direct/tests/test_backend_notices.py
@@ -103,7 +103,7 @@
     roster.record_notice(A, BACKOFF)
     event(roster)
     now = next(endpoint for endpoint in roster.endpoints() if endpoint.id == "a")
-    assert roster._words.remaining_backoff(now) == left
+    assert roster._notices.remaining_backoff(now) == left
     assert roster.may_send(now) is (left == 0)
 
 
@@ -234,7 +234,7 @@
 def test_the_number_of_notices_is_bounded(roster: Roster) -> None:
     for number in range(10_010):
         roster.merge_peer_notice(SharedNotice(f"c-{number}", "10.0.0.9:1", is_leaving=True))
-    assert len(roster._words._states) == 10_000
+    assert len(roster._notices._states) == 10_000
 
 
 def test_a_backend_in_backoff_is_not_asked_for_its_group_or_pace(
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -130,11 +130,11 @@
 def test_a_stream_moves_away_from_a_slow_backend(roster: Roster) -> None:
     """Otherwise the whole group is slowed down until the stream ends."""
 
-    def all_crawl() -> None:
+    def slow_down_all() -> None:
         for endpoint in roster.endpoints():
             roster.learn_pace(endpoint.id, 12.0)
 
-    slow, sound = _Stream(range(1, 9), all_crawl), _Stream(range(2, 6))
+    slow, sound = _Stream(range(1, 9), slow_down_all), _Stream(range(2, 6))
     events, tried = forward(roster, [slow, sound])
     assert events == [f"id: {number}\ndata: x\n\n".encode() for number in range(1, 6)]
     assert len(set(tried)) == 2
--- a/src/canvasyoke/direct/tests/test_list_age.py
+++ b/src/canvasyoke/direct/tests/test_list_age.py
@@ -36,10 +36,10 @@
     fleet.change("b-1", EndpointState.READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     in_contact, *others = fleet.entries.values()
     before = [entry.roster.list_age for entry in others]
     assert min(before) >= SETTLE_TURNS * TURN
     in_contact.roster.confirm_list()
-    fleet.pass_turns(SETTLE_TURNS // 2)
+    fleet.run_turns(SETTLE_TURNS // 2)
     assert max(entry.roster.list_age for entry in others) < min(before)
--- a/src/canvasyoke/direct/tests/test_peer_loads.py
+++ b/src/canvasyoke/direct/tests/test_peer_loads.py
@@ -23,22 +23,22 @@
         #: Monotonic send time of the updates.
         self.sent_at = 0
 
-    @rule(peer=st.sampled_from("xyz"), under_way=LOADS)
-    def tell(self, peer: str, under_way: dict[str, int]) -> None:
+    @rule(peer=st.sampled_from("xyz"), in_flight=LOADS)
+    def update_load(self, peer: str, in_flight: dict[str, int]) -> None:
         self.sent_at += 1
-        assert self.loads.update(peer, PeerLoad(self.sent_at, under_way), self.now)
-        self.received[peer] = (self.now, under_way)
+        assert self.loads.update(peer, PeerLoad(self.sent_at, in_flight), self.now)
+        self.received[peer] = (self.now, in_flight)
 
     @precondition(lambda self: self.received)
-    @rule(under_way=LOADS, data=st.data())
-    def tell_again(self, under_way: dict[str, int], data: st.DataObject) -> None:
+    @rule(in_flight=LOADS, data=st.data())
+    def receive_outdated_load(self, in_flight: dict[str, int], data: st.DataObject) -> None:
         """An older update that arrives over another path is ignored."""
         peer = data.draw(st.sampled_from(sorted(self.received)))
         if self.now - self.received[peer][0] < 3 * SECOND:
-            assert not self.loads.update(peer, PeerLoad(0, under_way), self.now)
+            assert not self.loads.update(peer, PeerLoad(0, in_flight), self.now)
 
     @rule(peer=st.sampled_from("xyz"))
-    def leave(self, peer: str) -> None:
+    def remove_entry(self, peer: str) -> None:
         self.loads.remove(peer)
         self.received.pop(peer, None)
 
@@ -56,10 +56,10 @@
         assert self.loads.entries == len(fresh)
 
     @rule()
-    def pass_on(self) -> None:
+    def relay_loads(self) -> None:
         fresh = {p: load for p, (at, load) in self.received.items() if self.now - at <= 3 * SECOND}
         for peer, load in self.loads.take_unrelayed().items():
-            assert fresh[peer] == load.under_way
+            assert fresh[peer] == load.in_flight
         assert not self.loads.take_unrelayed()
 
 
--- a/src/canvasyoke/direct/tests/test_quarantine_fleet.py
+++ b/src/canvasyoke/direct/tests/test_quarantine_fleet.py
@@ -17,7 +17,7 @@
 from canvasyoke.direct._quarantine import Quarantine
 from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
 
-DEADLY = "deadly"
+CRASHING = "deadly"
 
 
 @pytest.fixture(autouse=True)
@@ -28,7 +28,7 @@
 
 def connected_fleet(sizes: tuple[int, ...]) -> SimFleet:
     fleet = SimFleet(sizes)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     while fleet.deliver_hop():
         pass
     fleet.delivered = 0
@@ -51,10 +51,10 @@
     fleet = connected_fleet(sizes)
     first = next(iter(fleet.entries.values()))
     for run in ("a", "b", "c"):
-        first.quarantine.record_end(DEADLY, run)
+        first.quarantine.record_end(CRASHING, run)
         fleet.clock.advance(200)
     hops = 0
-    while any(not e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values()):
+    while any(not e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values()):
         assert fleet.deliver_hop()
         hops += 1
     while fleet.deliver_hop():
@@ -66,27 +66,27 @@
 def test_partitioned_entries_merge_their_cases_when_reconnected() -> None:
     fleet = connected_fleet((3, 3, 3))
     fleet.partitioned = {"domain-0"}
-    fleet.pass_turns(2)
-    fleet.entries["front-0-0"].quarantine.record_end(DEADLY, "a")
-    fleet.entries["front-1-0"].quarantine.record_end(DEADLY, "b")
-    fleet.entries["front-2-0"].quarantine.record_end(DEADLY, "c")
-    fleet.pass_turns(SETTLE_TURNS)
-    assert not any(e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values())
+    fleet.run_turns(2)
+    fleet.entries["front-0-0"].quarantine.record_end(CRASHING, "a")
+    fleet.entries["front-1-0"].quarantine.record_end(CRASHING, "b")
+    fleet.entries["front-2-0"].quarantine.record_end(CRASHING, "c")
+    fleet.run_turns(SETTLE_TURNS)
+    assert not any(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
     fleet.partitioned = set()
-    fleet.pass_turns(SETTLE_TURNS)
-    assert all(e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values())
+    fleet.run_turns(SETTLE_TURNS)
+    assert all(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
 
 
 def test_a_restarted_entry_receives_the_known_cases() -> None:
     fleet = connected_fleet((3, 3, 3))
     for run in ("a", "b", "c"):
-        fleet.entries["front-0-0"].quarantine.record_end(DEADLY, run)
+        fleet.entries["front-0-0"].quarantine.record_end(CRASHING, run)
         fleet.clock.advance(200)
     fleet.kill("front-1-0")
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     fleet.restart("front-1-0")
-    fleet.pass_turns(SETTLE_TURNS)
-    assert fleet.entries["front-1-0"].quarantine.is_quarantined(DEADLY)
+    fleet.run_turns(SETTLE_TURNS)
+    assert fleet.entries["front-1-0"].quarantine.is_quarantined(CRASHING)
 
 
 class QuarantineMachine(RuleBasedStateMachine):
@@ -103,22 +103,22 @@
         self.fleet = connected_fleet((2, 2, 2))
         self.names = sorted(self.fleet.entries)
         self.runs = 0
-        #: Ended runs attributed to the deadly request by all entries together.
+        #: Ended runs attributed to the crashing request by all entries together.
         self.counted: set[str] = set()
         self.answered: set[str] = set()
 
     def quarantine(self, number: int) -> Quarantine:
         return self.fleet.entries[self.names[number]].quarantine
 
-    @rule(entry=st.integers(0, 5), beside=st.sampled_from(["", "s-1", "s-2"]))
-    def end(self, entry: int, beside: str) -> None:
+    @rule(entry=st.integers(0, 5), other_request=st.sampled_from(["", "s-1", "s-2"]))
+    def end(self, entry: int, other_request: str) -> None:
         self.runs += 1
         run = f"run-{self.runs}"
-        self.quarantine(entry).record_end(DEADLY, run)
+        self.quarantine(entry).record_end(CRASHING, run)
         self.counted.add(run)
-        if beside:
-            self.quarantine((entry + 1) % 6).record_end(beside, run)
-            self.answered.discard(beside)
+        if other_request:
+            self.quarantine((entry + 1) % 6).record_end(other_request, run)
+            self.answered.discard(other_request)
 
     @rule(entry=st.integers(0, 5), name=st.sampled_from(["s-1", "s-2"]))
     def answer(self, entry: int, name: str) -> None:
@@ -128,24 +128,24 @@
     @rule(domain=st.sampled_from(["domain-0", "domain-1"]))
     def cut(self, domain: str) -> None:
         self.fleet.partitioned = {domain}
-        self.fleet.pass_turns(1)
+        self.fleet.run_turns(1)
 
     @rule()
     def pass_time(self) -> None:
-        self.fleet.pass_turns(2)
+        self.fleet.run_turns(2)
 
     @rule(entry=st.integers(0, 5))
     def restart(self, entry: int) -> None:
         self.settle()
         self.fleet.kill(self.names[entry])
-        self.fleet.pass_turns(1)
+        self.fleet.run_turns(1)
         self.fleet.restart(self.names[entry])
 
     @rule(entry=st.integers(0, 5))
     def release(self, entry: int) -> None:
         self.settle()
         is_kept = len(self.counted) >= MIN_ENDED_RUNS
-        assert self.quarantine(entry).release(DEADLY) is is_kept
+        assert self.quarantine(entry).release(CRASHING) is is_kept
         if is_kept:
             self.counted.clear()
         self.settle()
@@ -153,11 +153,13 @@
     @rule()
     def settle(self) -> None:
         self.fleet.partitioned = set()
-        self.fleet.pass_turns(SETTLE_TURNS)
+        self.fleet.run_turns(SETTLE_TURNS)
         known = [e.quarantine.cases() for e in self.fleet.entries.values()]
         assert all(cases == known[0] for cases in known)
         for entry in self.fleet.entries.values():
-            assert entry.quarantine.is_quarantined(DEADLY) is (len(self.counted) >= MIN_ENDED_RUNS)
+            assert entry.quarantine.is_quarantined(CRASHING) is (
+                len(self.counted) >= MIN_ENDED_RUNS
+            )
             assert not self.answered & entry.quarantine.quarantined
 
     @invariant()
@@ -195,7 +197,7 @@
         self.ends = 0
         self.sent = 0
         #: Requests in progress: name, backend, completion time, attempts left.
-        self.under_way: list[tuple[str, int, int, int]] = []
+        self.in_flight: list[tuple[str, int, int, int]] = []
         self.starts = [0] * self.backends
         self.back_at = [0] * self.backends
 
@@ -206,12 +208,12 @@
         up = [b for b in range(self.backends) if self.back_at[b] <= self.clock.now()]
         if up:
             done = self.clock.now() + self.rng.randint(1_000, 2_000)
-            self.under_way.append((name, self.rng.choice(up), done, attempts))
+            self.in_flight.append((name, self.rng.choice(up), done, attempts))
 
     def end(self, ending: list[int]) -> None:
         """End backends at once; each restarts after three seconds."""
-        broken = [each for each in self.under_way if each[1] in ending]
-        self.under_way = [each for each in self.under_way if each[1] not in ending]
+        broken = [each for each in self.in_flight if each[1] in ending]
+        self.in_flight = [each for each in self.in_flight if each[1] not in ending]
         for backend in ending:
             self.back_at[backend] = self.clock.now() + 3 * SECOND
             self.starts[backend] += 1
@@ -230,8 +232,8 @@
             self.sent += 1
             is_hot = self.rng.random() < self.hot
             self.send("hot" if is_hot else f"r-{turn}", 1 + 2 * self.repeats)
-            done = [each for each in self.under_way if each[2] <= self.clock.now()]
-            self.under_way = [each for each in self.under_way if each[2] > self.clock.now()]
+            done = [each for each in self.in_flight if each[2] <= self.clock.now()]
+            self.in_flight = [each for each in self.in_flight if each[2] > self.clock.now()]
             for name, _, _, _ in done:
                 self.quarantine.record_answer(name)
             self.quarantine.refresh()
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -38,7 +38,7 @@
         fleet.change(f"b-{n}", EndpointState.READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     return fleet
 
 
@@ -64,15 +64,15 @@
 def test_new_link_delivers_missed_changes() -> None:
     fleet = started(SIZES)
     fleet.partitioned = {"domain-1"}
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
     fleet.apply_watch_events(fleet.nodes[0].name)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     behind = [n for n, e in fleet.entries.items() if e.knows() != fleet.expected()]
     assert {fleet.entries[n].node.domain for n in behind} == {"domain-1"}
     fleet.partitioned = set()
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
@@ -84,13 +84,13 @@
     near = {pair for pair in fleet.wanted() if pair[0][:7] == pair[1][:7]}
     bridge = {("front-0-0", "front-1-0"), ("front-1-0", "front-2-0")}
     monkeypatch.setattr(fleet, "wanted", lambda: near)
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
     fleet.apply_watch_events("front-0-0")
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     monkeypatch.setattr(fleet, "wanted", lambda: near | bridge)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
@@ -105,10 +105,10 @@
     )
     fleet.change("b-2", EndpointState.LEAVING)
     fleet.apply_watch_events(watcher)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all("b-lost" not in e.knows() for e in fleet.entries.values())
     fleet.list_store(watcher)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all("b-lost" in e.knows() for e in fleet.entries.values())
 
 
@@ -119,7 +119,7 @@
     fleet.apply_watch_events("front-0-5")
     fleet.change("b-9", None)
     fleet.list_store("front-0-0")
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
 
 
@@ -130,7 +130,7 @@
     for _ in range(20):
         fleet.open("front-0-0", "front-0-1")
         fleet.open("front-0-1", "front-0-0")
-        fleet.pass_turns(4)
+        fleet.run_turns(4)
     gc.collect()
     assert len(entry.peers._backends._synced) <= len(entry.links.open)
 
@@ -140,7 +140,7 @@
     first = fleet.entries[fleet.nodes[0].name]
     assert first.roster.learn_group("b-1", "g-1")
     first.peers.announce_group("b-1", "g-1")
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_turns(SETTLE_TURNS)
     assert all(e.roster.groups() == {"b-1": "g-1"} for e in fleet.entries.values())
 
 
@@ -149,7 +149,7 @@
     entry = fleet.entries[name]
     endpoint = next((e for e in entry.roster.endpoints() if e.id == backend), None)
     if endpoint is not None and entry.roster.record_notice(endpoint, LEAVES).leaves:
-        entry.peers.announce_word(SharedNotice(endpoint.run, endpoint.address, is_leaving=True))
+        entry.peers.announce_notice(SharedNotice(endpoint.run, endpoint.address, is_leaving=True))
 
 
 def test_backend_notice_reaches_99_entries_in_few_hops() -> None:
@@ -172,13 +172,13 @@
 def test_new_link_delivers_valid_backend_notices() -> None:
     fleet = started((6, 5, 4))
     fleet.partitioned = {"domain-1"}
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     announce_leaving(fleet, fleet.nodes[0].name, "b-1")
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     ready = {e.node.domain for e in fleet.entries.values() if e.roster.is_ready("b-1")}
     assert ready == {"domain-1"}
     fleet.partitioned = set()
-    fleet.pass_turns(2)
+    fleet.run_turns(2)
     assert not any(e.roster.is_ready("b-1") for e in fleet.entries.values())
 
 
@@ -189,10 +189,10 @@
         busy.peers._budget.record_request("ink")
     assert busy.peers._shares.share("ink").fraction < 0.3, "no demand is sent without a limit"
     busy.roster.merge_peer_notice(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
-    busy.peers.announce_word(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
+    busy.peers.announce_notice(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
     for _ in range(SETTLE_TURNS):
         busy.peers._budget.record_request("ink")
-        fleet.pass_turns(1)
+        fleet.run_turns(1)
     assert all(entry.roster.has_limits for entry in others)
     assert busy.peers._shares.share("ink").fraction > 0.9
     assert all(entry.peers._shares.share("ink").fraction < 0.05 for entry in others)
@@ -203,10 +203,10 @@
     entry = next(iter(fleet.entries.values()))
     for rate, holds in ((7.0, True), (None, False)):
         fleet.clock.advance(10)
-        told = SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(rate))
-        entry.roster.merge_peer_notice(told)
-        entry.peers.announce_word(told)
-        fleet.pass_turns(SETTLE_TURNS)
+        notice = SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(rate))
+        entry.roster.merge_peer_notice(notice)
+        entry.peers.announce_notice(notice)
+        fleet.run_turns(SETTLE_TURNS)
         assert {e.roster.has_limits for e in fleet.entries.values()} == {holds}
 
 
@@ -214,7 +214,7 @@
     fleet = started(SIZES)
     first = fleet.entries[fleet.nodes[0].name]
     first.roster._members["b-1"].own_requests = 2
-    fleet.pass_turns(SETTLE_TURNS // 2)
+    fleet.run_turns(SETTLE_TURNS // 2)
     heard = {
         e.node.domain
         for e in fleet.entries.values()
@@ -295,7 +295,7 @@
 
     @rule(turns=st.integers(1, 6))
     def wait(self, turns: int) -> None:
-        self.fleet.pass_turns(turns)
+        self.fleet.run_turns(turns)
 
     @rule(domain=st.integers(0, 2))
     def partition(self, domain: int) -> None:
@@ -322,17 +322,17 @@
     def settle(self) -> None:
         """Without partitions, one entry that lists the store brings all of them up to date."""
         self.fleet.partitioned = set()
-        self.fleet.keep_links()
+        self.fleet.reconcile_links()
         self.fleet.list_store(self.watcher(0))
-        self.fleet.pass_turns(SETTLE_TURNS)
+        self.fleet.run_turns(SETTLE_TURNS)
         for name, entry in self.fleet.entries.items():
             known = {backend: state for backend, (_, state) in entry.knows().items()}
             true = {e.id: e.state.name for e in self.fleet.truth.values()}
             assert known == true, name
             runs = {e.run for e in entry.roster.endpoints()}
             assert runs == {e.run for e in self.fleet.truth.values()}, name
-        told = {frozenset(e.roster.notices_to_share()) for e in self.fleet.entries.values()}
-        assert len(told) == 1
+        notice = {frozenset(e.roster.notices_to_share()) for e in self.fleet.entries.values()}
+        assert len(notice) == 1
 
     @invariant()
     def positions_never_decrease(self) -> None:
--- a/src/canvasyoke/platform/_callers.py
+++ b/src/canvasyoke/platform/_callers.py
@@ -60,7 +60,7 @@
             method=method,
             host=headers.get("host", "").rsplit(":", 1)[0],
             target=target,
-            patience=int(patience),
+            timeout=int(patience),
             api_key=credentials[len(_BEARER) :].strip() if is_bearer else "",
             resume_after=headers.get(_RESUME_AFTER, ""),
             headers=tuple((n.title(), v) for n, v in headers.items() if n not in _NOT_PASSED_ON),
