--- a/src/canvasyoke/direct/_backend_limits.py
+++ b/src/canvasyoke/direct/_backend_limits.py
@@ -124,12 +124,12 @@
 
     @property
     def has_buckets(self) -> bool:
-        """Tell whether any backend has ever stated a rate limit."""
+        """Return whether any backend has ever stated a rate limit."""
         return bool(self._buckets)
 
     @property
     def has_any(self) -> bool:
-        """Tell whether any rate limit is in effect."""
+        """Return whether any rate limit is in effect."""
         return any(bucket.rate is not None for bucket in self._buckets.values())
 
     def update(self, key: tuple[str, str], limit: RateLimit) -> bool:
--- a/src/canvasyoke/direct/_backend_notices.py
+++ b/src/canvasyoke/direct/_backend_notices.py
@@ -43,7 +43,7 @@
 
     @property
     def has_any(self) -> bool:
-        """Tell whether anything has changed."""
+        """Return whether anything has changed."""
         return bool(self.backoff) or self.leaves or self.limit is not None
 
 
@@ -83,7 +83,7 @@
 
     @property
     def has_any(self) -> bool:
-        """Tell whether any notice is kept, so that callers can skip the lookups if not."""
+        """Return whether any notice is kept, so that callers can skip the lookups if not."""
         return bool(self._states) or self.limits.has_buckets
 
     def apply(self, endpoint: Endpoint, notice: BackendNotice) -> NoticeChange:
@@ -161,12 +161,12 @@
         return SharedNotice(endpoint.run, endpoint.address, backoff, state.is_leaving, limit)
 
     def has_peer_backoff(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend has asked another entry to back off."""
+        """Return whether a backend has asked another entry to back off."""
         state = self._states.get(_key(endpoint)) if self._states else None
         return state is not None and self.clock.now() < state.peer_backoff_until
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
-        """Tell whether a run has announced that it is about to end."""
+        """Return whether a run has announced that it is about to end."""
         state = self._states.get(_key(endpoint)) if self._states else None
         return state is not None and state.is_leaving
 
--- a/src/canvasyoke/direct/_crash_cases.py
+++ b/src/canvasyoke/direct/_crash_cases.py
@@ -103,7 +103,7 @@
 def _exceeds_background(
     runs: frozenset[str], background: Iterable[str], ended_at: Mapping[str, int], now: int
 ) -> bool:
-    """Tell whether backends ended with a request more often than without it.
+    """Return whether backends ended with a request more often than without it.
 
     Backends that ended at the same time without running the request indicate an external cause. So
     does each other group of ends shortly before or after; it counts once, since the loss of a
--- a/src/canvasyoke/direct/_events.py
+++ b/src/canvasyoke/direct/_events.py
@@ -21,7 +21,7 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether the buffer holds an incomplete event."""
+        """Return whether the buffer holds an incomplete event."""
         return bool(self._buffer.strip())
 
 
@@ -34,7 +34,7 @@
 
 
 def is_after(new: str, last: str) -> bool:
-    """Tell whether event id ``new`` follows ``last`` in a stream."""
+    """Return whether event id ``new`` follows ``last`` in a stream."""
     if not new or not last:
         return True
     if new.isdigit() and last.isdigit():
--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -108,7 +108,7 @@
                 return
 
     def _is_quarantined(self, call: DirectCall) -> bool:
-        """Tell whether a request is quarantined.
+        """Return whether a request is quarantined.
 
         Checked before each attempt, since other entries may report it between two attempts. The
         fingerprint is computed only while any request is quarantined.
@@ -278,7 +278,7 @@
 
 
 def _closed_by_entry(call: DirectCall) -> bool:
-    """Tell whether this entry closed the exchange, which is no evidence of a backend failure."""
+    """Return whether this entry closed the exchange, which is no evidence of a backend failure."""
     return call.is_moved or call.is_unresponsive or call.is_disconnected()
 
 
--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -197,7 +197,7 @@
         self.store_restore.observe_position(position, self.is_known)
 
     def _may_be_rewritten(self, endpoint: Endpoint) -> bool:
-        """Tell whether a backend that a list lacks may be alive and about to rewrite its entry."""
+        """Return whether a backend that a list lacks may be alive and about to rewrite its entry."""
         is_of_earlier_era = era_of(endpoint.position) < self.store_restore.era
         return is_of_earlier_era and self.store_restore.lacks_backends
 
@@ -245,7 +245,7 @@
         return BackendChange(replace(known, position=position), False, position, was_lost=True)
 
     def _is_superseded(self, update: Endpoint, known: Endpoint) -> bool:
-        """Tell whether the known state of a backend takes precedence over an update.
+        """Return whether the known state of a backend takes precedence over an update.
 
         Of two states at one position LEAVING wins: the other is from the restored copy.
         """
@@ -255,7 +255,7 @@
         return known.state is EndpointState.LEAVING and not is_settled
 
     def _was_missed(self, endpoint: Endpoint) -> bool:
-        """Tell whether the watch should have reported a listed backend before."""
+        """Return whether the watch should have reported a listed backend before."""
         if endpoint.id in self.store_restore.doubted:
             return not self.store_restore.is_settling
         known = self._endpoints.get(endpoint.id)
@@ -265,7 +265,7 @@
         return is_unreported and endpoint.position <= self.position
 
     def _is_stale(self, endpoint: Endpoint, change: BackendChange | None = None) -> bool:
-        """Tell whether an update from another entry is no newer than what is known."""
+        """Return whether an update from another entry is no newer than what is known."""
         known = self._endpoints.get(endpoint.id)
         newest = known.position if known is not None else self.position
         newest = max(newest, self._removed.get(endpoint.id, 0))
@@ -284,7 +284,7 @@
 
 
 def _is_only_relisted(update: Endpoint, known: Endpoint) -> bool:
-    """Tell whether only the position has changed because the store was restored.
+    """Return whether only the position has changed because the store was restored.
 
     This happens to all backends, and need not be sent to the other entries.
     """
--- a/src/canvasyoke/direct/_quarantine.py
+++ b/src/canvasyoke/direct/_quarantine.py
@@ -71,7 +71,7 @@
             return dict(self._cases)
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tell whether a request is quarantined."""
+        """Return whether a request is quarantined."""
         return fingerprint in self._quarantined
 
     def record_end(self, fingerprint: str, run: str) -> None:
--- a/src/canvasyoke/direct/_refusals.py
+++ b/src/canvasyoke/direct/_refusals.py
@@ -110,7 +110,7 @@
 
 
 def _recovers_slowly(call: DirectCall, cause: NotRun | MayHaveRun | NoneAvailable) -> bool:
-    """Tell whether the cause of a refusal takes seconds to recover.
+    """Return whether the cause of a refusal takes seconds to recover.
 
     This holds if a rank of the group of the backend is missing, and if the list of backends is
     older than their last restart. It does not depend on known groups, since an entry that has just
--- a/src/canvasyoke/direct/_retries.py
+++ b/src/canvasyoke/direct/_retries.py
@@ -35,7 +35,7 @@
         return "" if self._charge_retry(call) else "the retry budget is used up"
 
     def should_retry_failure(self, call: DirectCall) -> bool:
-        """Tell whether an error response of a backend should be retried elsewhere.
+        """Return whether an error response of a backend should be retried elsewhere.
 
         Otherwise it is passed on to the caller.
         """
@@ -46,7 +46,7 @@
         )
 
     def should_move(self, call: DirectCall) -> bool:
-        """Tell whether to move a stream from a backend that slows down its group."""
+        """Return whether to move a stream from a backend that slows down its group."""
         return (
             self._roster.should_migrate_streams(call.backend)
             and self._may_go_elsewhere(call)
@@ -54,7 +54,7 @@
         )
 
     def is_overdue(self, call: DirectCall) -> bool:
-        """Tell whether to retry a stream elsewhere because its backend does not respond.
+        """Return whether to retry a stream elsewhere because its backend does not respond.
 
         Callers abandon a stream after two seconds without an event.
         """
@@ -67,7 +67,7 @@
         )
 
     def _may_go_elsewhere(self, call: DirectCall) -> bool:
-        """Tell whether another backend may take over a request that was already sent.
+        """Return whether another backend may take over a request that was already sent.
 
         The exchange is closed only if another backend accepts requests.
         """
--- a/src/canvasyoke/direct/tests/backoff_simulation.py
+++ b/src/canvasyoke/direct/tests/backoff_simulation.py
@@ -36,7 +36,7 @@
 #: Milliseconds between two reports of an entry's load.
 _REPORT_INTERVAL = 150
 _REFUSAL_PAUSE = 150
-_PATIENCE = 200
+_MAX_WAIT = 200
 
 
 @dataclass(frozen=True)
@@ -193,7 +193,7 @@
     def _choose(
         self, entry: _Entry, call: DirectCall, tried: frozenset[str], is_retry: bool
     ) -> None:
-        chosen = entry.roster.choose(BackendQuery(_SERVICE, tried, _PATIENCE))
+        chosen = entry.roster.choose(BackendQuery(_SERVICE, tried, _MAX_WAIT))
         if isinstance(chosen, Chosen):
             self._schedule(
                 _BACKEND_DELAY, lambda: self._arrive(entry, call, chosen, tried, is_retry)
@@ -308,6 +308,6 @@
                 return overload
         return None
 
-    def _record(self, entry: _Entry, backend: _Backend, status: int, word: EngineWord) -> None:
+    def _record(self, entry: _Entry, backend: _Backend, status: int, notice: EngineWord) -> None:
         at = self.clock.now() / SECOND
-        backend.ledger.append(Exchanged(entry.name, at, at, status, word))
+        backend.ledger.append(Exchanged(entry.name, at, at, status, notice))
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -22,7 +22,7 @@
 from canvasyoke.transport import Session
 
 #: Milliseconds of simulated time between steps of an entry.
-TURN = 150
+STEP_INTERVAL = 150
 
 
 class SimSession:
@@ -115,8 +115,8 @@
             store="10.0.0.1:4",
             adapter="objects",
         )
-        #: Number of changes in the history of the store that this entry has seen.
-        self.watched = 0
+        #: Number of changes in the history of the store that were applied to this entry.
+        self.applied_changes = 0
         self.quarantine = Quarantine(clock, lambda name, case: self.peers.announce_case(name, case))
         self.peers = EntryPeers(
             settings,
@@ -142,7 +142,7 @@
         self.peers._send_load()
         self.quarantine.refresh()
 
-    def knows(self) -> dict[str, tuple[int, str]]:
+    def known_backends(self) -> dict[str, tuple[int, str]]:
         return {e.id: (e.position, e.state.name) for e in self.roster.endpoints()}
 
 
@@ -159,7 +159,7 @@
         ]
         self.store = SimStore(self.nodes)
         self.revision = 1
-        self.truth: dict[str, Endpoint] = {}
+        self.stored: dict[str, Endpoint] = {}
         #: All changes in the store, in order.
         self.history: list[BackendChange] = []
         self.entries = {p.name: SimEntry(p, self.store, self.clock) for p in self.nodes}
@@ -169,14 +169,14 @@
         self.delivered = 0
 
     @property
-    def at(self) -> int:
+    def position(self) -> int:
         """Current position of the store."""
         return self.revision
 
     def can_reach(self, one: Node, other: Node) -> bool:
         return one.domain == other.domain or not {one.domain, other.domain} & self.partitioned
 
-    def wanted(self) -> set[tuple[str, str]]:
+    def expected_links(self) -> set[tuple[str, str]]:
         """Return the pairs of entries that the overlay links."""
         pairs = set()
         alive = [e.node for e in self.entries.values()]
@@ -188,7 +188,7 @@
 
     def reconcile_links(self) -> None:
         """Open missing links, and close those that are no longer wanted."""
-        wanted = self.wanted()
+        wanted = self.expected_links()
         for name, entry in self.entries.items():
             for peer, session in list(entry.links.open.items()):
                 if (min(name, peer), max(name, peer)) not in wanted:
@@ -224,9 +224,9 @@
         self.delivered += delivered
         return delivered > 0
 
-    def run_turns(self, turns: int) -> None:
-        for _ in range(turns):
-            self.clock.advance(TURN)
+    def run_steps(self, steps: int) -> None:
+        for _ in range(steps):
+            self.clock.advance(STEP_INTERVAL)
             self.reconcile_links()
             for entry in self.entries.values():
                 entry.step()
@@ -247,10 +247,10 @@
     def change(self, backend: str, state: EndpointState | None, is_restart: bool = False) -> None:
         """Change or remove a backend in the store."""
         self.revision += 1
-        known = self.truth.get(backend)
+        known = self.stored.get(backend)
         started = known.started if known is not None else 0
         if state is None:
-            gone = self.truth.pop(backend, None)
+            gone = self.stored.pop(backend, None)
             if gone is not None:
                 self.history.append(BackendChange(gone, True, self.revision))
             return
@@ -264,7 +264,7 @@
             self.revision,
             self.revision if is_restart else started,
         )
-        self.truth[backend] = endpoint
+        self.stored[backend] = endpoint
         self.history.append(BackendChange(endpoint, False, self.revision))
 
     def apply_watch_events(self, name: str) -> None:
@@ -272,26 +272,26 @@
         entry = self.entries[name]
         if not entry.roster.is_known:
             return
-        for change in self.history[entry.watched :]:
+        for change in self.history[entry.applied_changes :]:
             if change.gone:
                 entry.roster.remove(change.endpoint.id, change.position)
             else:
                 entry.roster.put(change.endpoint)
             entry.peers.announce_backend(change)
             entry.roster.advance_position(change.position)
-        entry.watched = len(self.history)
+        entry.applied_changes = len(self.history)
 
     def list_store(self, name: str) -> None:
         """Make an entry read the whole list, as at its start and after a failed watch."""
         entry = self.entries[name]
-        entry.watched = len(self.history)
+        entry.applied_changes = len(self.history)
         is_first = not entry.roster.is_known
-        for change in entry.roster.merge_from_store(list(self.truth.values()), self.at):
+        for change in entry.roster.merge_from_store(list(self.stored.values()), self.position):
             if not is_first:
                 entry.peers.announce_backend(change)
 
     def expected(self) -> dict[str, tuple[int, str]]:
-        return {e.id: (e.position, e.state.name) for e in self.truth.values()}
+        return {e.id: (e.position, e.state.name) for e in self.stored.values()}
 
 
-SETTLE_TURNS = 4 * SECOND // TURN
+SETTLE_STEPS = 4 * SECOND // STEP_INTERVAL
--- a/src/canvasyoke/direct/tests/load_model.py
+++ b/src/canvasyoke/direct/tests/load_model.py
@@ -64,7 +64,7 @@
     crossed: int = 0
 
     @property
-    def asked(self) -> int:
+    def total(self) -> int:
         return self.in_time + self.late + self.refused
 
 
--- a/src/canvasyoke/direct/tests/restored_fleet.py
+++ b/src/canvasyoke/direct/tests/restored_fleet.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from canvasyoke._clock import SECOND
-from canvasyoke.direct.tests.fleet_model import TURN, SimFleet
+from canvasyoke.direct.tests.fleet_model import STEP_INTERVAL, SimFleet
 from canvasyoke.state import Endpoint, EndpointState, revision_of, store_position
 
 #: Milliseconds after a restore until live backends rewrite their entries, and until the
@@ -13,7 +13,7 @@
 _REWRITE_DELAY = 1_800
 _EXPIRY_DELAY = 4_000
 #: Steps until all entries agree after a restore: the expiry, plus 4 s of propagation.
-RESTORE_TURNS = (_EXPIRY_DELAY + 4 * SECOND) // TURN + 1
+RESTORE_STEPS = (_EXPIRY_DELAY + 4 * SECOND) // STEP_INTERVAL + 1
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,7 @@
     """Backends in the store at one point in time."""
 
     revision: int
-    truth: dict[str, Endpoint]
+    stored: dict[str, Endpoint]
 
 
 class RestoredFleet(SimFleet):
@@ -44,12 +44,12 @@
         The store may have lost the previous announcement.
         """
         before = self.announced.pop(backend, None)
-        if before is not None and backend not in self.truth and state is not None:
-            self.truth[backend] = before
+        if before is not None and backend not in self.stored and state is not None:
+            self.stored[backend] = before
         super().change(backend, state, is_restart)
-        written = self.truth.get(backend)
+        written = self.stored.get(backend)
         if written is not None:
-            self.announced[backend] = self.truth[backend] = self._in_era(written)
+            self.announced[backend] = self.stored[backend] = self._in_era(written)
         if self.history and self.history[-1].position == self.revision:
             last = self.history[-1]
             at = store_position(self.era, self.revision)
@@ -60,22 +60,22 @@
         return replace(endpoint, position=store_position(self.era, revision))
 
     @property
-    def at(self) -> int:
+    def position(self) -> int:
         """Current position of the store, including its era."""
         return store_position(self.era, self.revision)
 
     def snapshot(self) -> Snapshot:
         """Return the current state of the store."""
-        return Snapshot(self.revision, dict(self.truth))
+        return Snapshot(self.revision, dict(self.stored))
 
     def restore(self, snapshot: Snapshot, relist: bool = True) -> None:
         """Restore a snapshot in a new era; watchers list it now if ``relist``."""
         self.era += 1
         self.revision = snapshot.revision
-        self.truth = {name: self._in_era(e) for name, e in snapshot.truth.items()}
+        self.stored = {name: self._in_era(e) for name, e in snapshot.stored.items()}
         self.history.clear()
         for entry in self.entries.values():
-            entry.watched = 0
+            entry.applied_changes = 0
         self._rewrite_at = self.clock.now() + _REWRITE_DELAY
         self._expire_at = self.clock.now() + _EXPIRY_DELAY
         if relist:
@@ -100,7 +100,7 @@
         entry = self.entries[name]
         if not entry.roster.is_known:
             return
-        for change in self.history[entry.watched :]:
+        for change in self.history[entry.applied_changes :]:
             if change.gone:
                 changes = entry.roster.remove(change.endpoint.id, change.position)
             else:
@@ -108,22 +108,22 @@
             for applied in changes:
                 entry.peers.announce_backend(applied)
             entry.roster.advance_position(change.position)
-        entry.watched = len(self.history)
-        entry.roster.advance_position(self.at)
+        entry.applied_changes = len(self.history)
+        entry.roster.advance_position(self.position)
 
-    def run_turns(self, turns: int) -> None:
+    def run_steps(self, steps: int) -> None:
         """Advance time, with the rewrites and the expiry that follow a restore."""
-        for _ in range(turns):
-            super().run_turns(1)
+        for _ in range(steps):
+            super().run_steps(1)
             now = self.clock.now()
             if self._rewrite_at and now >= self._rewrite_at:
                 self._rewrite_at = 0
                 self._rewrite_entries()
             if self._expire_at and now >= self._expire_at:
                 self._expire_at = 0
-                for name in self.truth.keys() - self.announced.keys():
+                for name in self.stored.keys() - self.announced.keys():
                     super().change(name, None)
-                    self.history[-1] = replace(self.history[-1], position=self.at)
+                    self.history[-1] = replace(self.history[-1], position=self.position)
                 self.apply_watch_events_at_watchers()
             for name in self.watchers():
                 roster = self.entries[name].roster
@@ -132,7 +132,7 @@
 
     def _rewrite_entries(self) -> None:
         for name, endpoint in list(self.announced.items()):
-            listed = self.truth.get(name)
+            listed = self.stored.get(name)
             if listed is None or replace(listed, position=endpoint.position) != endpoint:
                 self.change(name, endpoint.state)
         self.apply_watch_events_at_watchers()
@@ -141,7 +141,7 @@
         """Return the views of entries that differ from the true state."""
         true = {name: endpoint.state.name for name, endpoint in self.announced.items()}
         known = {
-            name: {backend: state for backend, (_, state) in entry.knows().items()}
+            name: {backend: state for backend, (_, state) in entry.known_backends().items()}
             for name, entry in self.entries.items()
         }
         return {name: each for name, each in known.items() if each != true}
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -134,10 +134,10 @@
     def __init__(self, paces: dict[str, float]) -> None:
         super().__init__(lambda: pytest.fail("nothing is sent"))
         self.paces = paces
-        self.asked: list[str] = []
+        self.queried: list[str] = []
 
     def pace_of(self, endpoint: Endpoint) -> float | None:
-        self.asked.append(endpoint.id)
+        self.queried.append(endpoint.id)
         return self.paces.get(endpoint.id, 1.0)
 
 
@@ -164,10 +164,10 @@
     monitor = make_monitor(port, roster, reported)
     play_events(roster, clock, 90, 20)
     monitor.poll()
-    assert port.asked == []
+    assert port.queried == []
     play_events(roster, clock, 300, 40)
     monitor.poll()
-    assert sorted(port.asked) == RANKS
+    assert sorted(port.queried) == RANKS
     assert reported == [(RANKS[4], 12.0)]
 
 
@@ -178,7 +178,7 @@
     roster.learn_pace(RANKS[4], 12.0)
     play_events(roster, clock, 90, 20)
     monitor.poll()
-    assert port.asked == [RANKS[4]]
+    assert port.queried == [RANKS[4]]
     assert reported == [(RANKS[4], 1.0)]
 
 
--- a/src/canvasyoke/direct/tests/test_backend_limits.py
+++ b/src/canvasyoke/direct/tests/test_backend_limits.py
@@ -188,7 +188,7 @@
     assert isinstance(roster.choose(BackendQuery("ink")), Chosen)
 
 
-def test_the_return_line_follows_the_limit(clock: ManualClock) -> None:
+def test_retry_times_follow_the_limit(clock: ManualClock) -> None:
     line = RetryScheduler(clock)
     assert [line.assign("ink", 100, 2.0) for _ in range(3)] == [100, 600, 1_100]
     assert line.assign("other", 50, 2.0) == 50
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -112,7 +112,7 @@
             if endpoint.id in names:
                 self.roster.record_notice(endpoint, BackendNotice(backoff=backoff))
 
-    def retries_left(self) -> int:
+    def spend_all_retries(self) -> int:
         count = 0
         while self.budget.spend("ink"):
             count += 1
@@ -169,10 +169,10 @@
     """The stream's backend breaks off, and the others ask to back off meanwhile."""
     entry = _Entry(lambda _: _Answer([b"id: 1\ndata: first\n\n"]))
 
-    def others_ask(endpoint: Endpoint) -> None:
+    def back_off_others(endpoint: Endpoint) -> None:
         entry.back_off(*(name for name in NAMES if name != endpoint.id))
 
-    entry.port.on_connect = others_ask
+    entry.port.on_connect = back_off_others
     entry.run()
     assert len(entry.port.reached) == 1
 
@@ -180,12 +180,12 @@
 def test_a_backoff_received_while_connecting_prevents_the_request(entry: _Entry) -> None:
     first: list[str] = []
 
-    def asks(endpoint: Endpoint) -> None:
+    def back_off_first(endpoint: Endpoint) -> None:
         if not first:
             first.append(endpoint.id)
             entry.back_off(endpoint.id)
 
-    entry.port.on_connect = asks
+    entry.port.on_connect = back_off_first
     call, _ = entry.run()
     assert len(entry.port.reached) == 1
     assert first[0] not in entry.port.reached
@@ -206,15 +206,15 @@
 def test_notices_in_all_kinds_of_answers_are_applied(sending: Sending) -> None:
     entry = _Entry(lambda _: sending)
     entry.run(replace(RESUMABLE, max_attempts=1))
-    asking = entry.port.reached[0]
+    refusing = entry.port.reached[0]
     for _ in range(4):
         entry.run(replace(RESUMABLE, max_attempts=1))
-    assert entry.port.reached.count(asking) == 1
+    assert entry.port.reached.count(refusing) == 1
 
 
 def test_no_retry_is_spent_if_no_other_backend_takes_requests() -> None:
     """Guards against wasting the fleet's retry budget on a retry that cannot succeed."""
-    budget = _Entry(lambda _: REFUSAL).retries_left()
+    budget = _Entry(lambda _: REFUSAL).spend_all_retries()
     entry = _Entry(lambda _: REFUSAL)
     entry.back_off(*NAMES[1:])
     _, last = entry.run()
@@ -222,11 +222,11 @@
     assert isinstance(last, ErrorAnswer)
     assert last.detail == "refused with status 503; no retry: no other backend takes requests"
     assert last.retry_after > 3_000
-    assert entry.retries_left() == budget
+    assert entry.spend_all_retries() == budget
 
 
-def silent_call(entry: _Entry, backend: str) -> DirectCall:
-    """Return a stream's call whose backend is silent while its group makes progress."""
+def unresponsive_call(entry: _Entry, backend: str) -> DirectCall:
+    """Return a stream's call whose backend is unresponsive while its group makes progress."""
     for endpoint in entry.roster.endpoints():
         entry.roster.learn_group(endpoint.run, "g")
         entry.roster.record_stream_start(endpoint.run, 100)
@@ -241,26 +241,28 @@
     return call
 
 
-def test_a_stream_is_moved_off_a_silent_backend(entry: _Entry) -> None:
-    budget = _Entry(lambda _: REFUSAL).retries_left()
-    call = silent_call(entry, "b-1")
+def test_a_stream_is_moved_off_a_unresponsive_backend(entry: _Entry) -> None:
+    budget = _Entry(lambda _: REFUSAL).spend_all_retries()
+    call = unresponsive_call(entry, "b-1")
     assert entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
     assert call.slot.is_shut
-    assert entry.retries_left() == budget - 1
+    assert entry.spend_all_retries() == budget - 1
 
 
-def test_a_stream_stays_with_a_silent_backend_if_no_other_takes_requests(entry: _Entry) -> None:
+def test_a_stream_stays_with_a_unresponsive_backend_if_no_other_takes_requests(
+    entry: _Entry,
+) -> None:
     """No other backend could resume the stream."""
-    call = silent_call(entry, "b-1")
+    call = unresponsive_call(entry, "b-1")
     entry.back_off("b-2", "b-3")
     assert not entry.forwarder.close_if_unresponsive(call)
 
 
-def test_a_stream_stays_with_a_silent_backend_if_no_retry_is_left(entry: _Entry) -> None:
+def test_a_stream_stays_with_a_unresponsive_backend_if_no_retry_is_left(entry: _Entry) -> None:
     """Ending the stream would turn a late answer into an immediate failure."""
-    call = silent_call(entry, "b-1")
-    entry.retries_left()
+    call = unresponsive_call(entry, "b-1")
+    entry.spend_all_retries()
     assert not entry.forwarder.close_if_unresponsive(call)
     assert call.slot is not None
     assert not call.slot.is_shut
--- a/src/canvasyoke/direct/tests/test_crash_detector.py
+++ b/src/canvasyoke/direct/tests/test_crash_detector.py
@@ -31,22 +31,22 @@
 
 
 @pytest.mark.parametrize(
-    ("backend", "shown", "expected"),
+    ("backend", "probe_result", "expected"),
     [f[1:] for f in LIVENESS_CASES],
     ids=[f[0] for f in LIVENESS_CASES],
 )
 def test_only_an_unplanned_end_counts_as_a_crash(
-    backend: Endpoint, shown: Reach, expected: BackendLiveness
+    backend: Endpoint, probe_result: Reach, expected: BackendLiveness
 ) -> None:
     roster = Roster("nbo-a", ManualClock(start=10_000), random.Random(1))
     roster.merge([READY, LEAVING], 1)
     metrics = DirectMetrics()
-    crash_detector = CrashDetector(roster, metrics, lambda _address, _timeout: shown)
+    crash_detector = CrashDetector(roster, metrics, lambda _address, _timeout: probe_result)
     assert crash_detector.check(make_call(), backend, "broke off") is expected
     assert f'broken_exchanges_total{{backend="{expected}"}} 1' in metrics.all.render()
 
 
-def test_a_port_where_nothing_listens_refuses() -> None:
+def test_an_unused_port_refuses_connections() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = f"127.0.0.1:{server.getsockname()[1]}"
         assert reach(address, 1_000) is Reach.LISTENING
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -24,17 +24,17 @@
 
 
 class _BrokenStream(BackendAnswer):
-    """A stream whose domain is cut off after its first event, and that then fails."""
+    """A stream that calls ``on_event`` after its first event, and then fails."""
 
-    def __init__(self, cut: Callable[[], None]) -> None:
+    def __init__(self, on_event: Callable[[], None]) -> None:
         self.status = 200
         self.headers = [("Content-Type", "text/event-stream")]
         self.is_framed = True
-        self._cut = cut
+        self._on_event = on_event
 
     def pieces(self) -> Iterator[bytes]:
         yield b"id: 1\ndata: x\n\n"
-        self._cut()
+        self._on_event()
         raise ExchangeError("reset")
 
     def wait_at_most(self, duration: int) -> None:
@@ -54,7 +54,7 @@
     return roster
 
 
-def cut_off(roster: Roster) -> None:
+def make_domain_unreachable(roster: Roster) -> None:
     for endpoint in roster.endpoints():
         roster.record_connect_failure(endpoint)
 
@@ -66,27 +66,27 @@
     list(forwarder.run(make_call()))
 
 
-def test_a_stream_that_a_cut_breaks_off_does_not_end_the_cut(roster: Roster) -> None:
-    run(roster, lambda: _BrokenStream(lambda: cut_off(roster)))
+def test_a_broken_stream_does_not_make_its_domain_reachable(roster: Roster) -> None:
+    run(roster, lambda: _BrokenStream(lambda: make_domain_unreachable(roster)))
     assert roster.probe_addresses().keys() == {"nbo-b"}
 
 
-def test_a_request_without_an_answer_does_not_end_a_cut(roster: Roster) -> None:
+def test_a_missing_answer_does_not_make_a_domain_reachable(roster: Roster) -> None:
     def send() -> Sending:
-        cut_off(roster)
+        make_domain_unreachable(roster)
         return MayHaveRun("no answer came")
 
     run(roster, send)
     assert roster.probe_addresses().keys() == {"nbo-b"}
 
 
-def test_an_answer_ends_a_cut(roster: Roster) -> None:
-    cut_off(roster)
+def test_an_answer_makes_its_domain_reachable(roster: Roster) -> None:
+    make_domain_unreachable(roster)
     run(roster, lambda: NotRun(NotRunCause.FULL, "refused"))
     assert roster.probe_addresses() == {}
 
 
-def test_connections_that_are_not_made_cut_a_domain_off(roster: Roster) -> None:
+def test_failed_connections_make_a_domain_unreachable(roster: Roster) -> None:
     run(roster, lambda: NotRun(NotRunCause.UNREACHABLE, "timed out"))
     assert roster.probe_addresses().keys() == {"nbo-b"}
 
@@ -141,7 +141,7 @@
     assert slow.is_closed
 
 
-def test_a_stream_is_moved_once_at_the_most(roster: Roster) -> None:
+def test_a_stream_is_moved_at_most_once(roster: Roster) -> None:
     for endpoint in roster.endpoints():
         roster.learn_pace(endpoint.id, 12.0)
     events, tried = forward(roster, [_Stream(range(1, 9)), _Stream(range(2, 9))])
@@ -149,7 +149,7 @@
     assert len(tried) == 2
 
 
-def test_an_exchange_with_a_silent_backend_is_ended_within_the_attempts() -> None:
+def test_an_exchange_with_a_unresponsive_backend_is_ended_within_the_attempts() -> None:
     clock = ManualClock(start=10_000)
     roster = Roster("nbo-a", clock, random.Random(1))
     roster.merge(
--- a/src/canvasyoke/direct/tests/test_heavy_load.py
+++ b/src/canvasyoke/direct/tests/test_heavy_load.py
@@ -15,7 +15,7 @@
 BASE = LoadScenario()
 
 
-def play(load: float, **change: object) -> Outcome:
+def simulate(load: float, **change: object) -> Outcome:
     scenario = replace(BASE, rates=tuple(rate * load for rate in BASE.rates), **change)  # type: ignore[arg-type]
     return LoadSimulation(scenario).run()
 
@@ -34,24 +34,24 @@
 def test_most_requests_have_a_slot_in_time(
     load: float, min_in_time: float, max_full_mesh_in_time: float
 ) -> None:
-    outcome = play(load)
-    full_mesh = play(load, is_full_mesh=True, report_delay=1_300.0, report_interval=2_000.0)
-    assert outcome.in_time / outcome.asked >= min_in_time
-    assert full_mesh.in_time / full_mesh.asked <= max_full_mesh_in_time
+    outcome = simulate(load)
+    full_mesh = simulate(load, is_full_mesh=True, report_delay=1_300.0, report_interval=2_000.0)
+    assert outcome.in_time / outcome.total >= min_in_time
+    assert full_mesh.in_time / full_mesh.total <= max_full_mesh_in_time
 
 
 def test_few_requests_are_refused_while_slots_are_free() -> None:
-    outcome = play(1.25)
-    assert outcome.refused_with_room <= outcome.asked // 100
-    assert outcome.turned_away <= outcome.asked // 50
+    outcome = simulate(1.25)
+    assert outcome.refused_with_room <= outcome.total // 100
+    assert outcome.turned_away <= outcome.total // 50
 
 
 def test_requests_stay_in_the_domain_while_it_has_free_slots() -> None:
-    assert play(1.0).crossed == 0
+    assert simulate(1.0).crossed == 0
 
 
 def test_a_domain_without_engines_is_served_by_the_others() -> None:
     scenario = replace(BASE, engines=(0, 39, 38, 38, 38), rates=(20.0, 20.0, 20.0, 20.0, 20.0))
     outcome = LoadSimulation(scenario).run()
     assert outcome.crossed > 0
-    assert outcome.in_time / outcome.asked > 0.9
+    assert outcome.in_time / outcome.total > 0.9
--- a/src/canvasyoke/direct/tests/test_list_age.py
+++ b/src/canvasyoke/direct/tests/test_list_age.py
@@ -10,7 +10,7 @@
 from canvasyoke.direct import _peers
 from canvasyoke.direct._choice import BackendQuery, Chosen
 from canvasyoke.direct._roster import Roster
-from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, TURN, SimFleet, SimLinks
+from canvasyoke.direct.tests.fleet_model import SETTLE_STEPS, STEP_INTERVAL, SimFleet, SimLinks
 from canvasyoke.state import Endpoint, EndpointState
 
 
@@ -36,10 +36,10 @@
     fleet.change("b-1", EndpointState.READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     in_contact, *others = fleet.entries.values()
     before = [entry.roster.list_age for entry in others]
-    assert min(before) >= SETTLE_TURNS * TURN
+    assert min(before) >= SETTLE_STEPS * STEP_INTERVAL
     in_contact.roster.confirm_list()
-    fleet.run_turns(SETTLE_TURNS // 2)
+    fleet.run_steps(SETTLE_STEPS // 2)
     assert max(entry.roster.list_age for entry in others) < min(before)
--- a/src/canvasyoke/direct/tests/test_quarantine_fleet.py
+++ b/src/canvasyoke/direct/tests/test_quarantine_fleet.py
@@ -15,7 +15,7 @@
 from canvasyoke.direct import _peers
 from canvasyoke.direct._crash_cases import MIN_ENDED_RUNS
 from canvasyoke.direct._quarantine import Quarantine
-from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
+from canvasyoke.direct.tests.fleet_model import SETTLE_STEPS, SimFleet, SimLinks
 
 CRASHING = "deadly"
 
@@ -28,7 +28,7 @@
 
 def connected_fleet(sizes: tuple[int, ...]) -> SimFleet:
     fleet = SimFleet(sizes)
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     while fleet.deliver_hop():
         pass
     fleet.delivered = 0
@@ -66,14 +66,14 @@
 def test_partitioned_entries_merge_their_cases_when_reconnected() -> None:
     fleet = connected_fleet((3, 3, 3))
     fleet.partitioned = {"domain-0"}
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     fleet.entries["front-0-0"].quarantine.record_end(CRASHING, "a")
     fleet.entries["front-1-0"].quarantine.record_end(CRASHING, "b")
     fleet.entries["front-2-0"].quarantine.record_end(CRASHING, "c")
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert not any(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
     fleet.partitioned = set()
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert all(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
 
 
@@ -83,14 +83,14 @@
         fleet.entries["front-0-0"].quarantine.record_end(CRASHING, run)
         fleet.clock.advance(200)
     fleet.kill("front-1-0")
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     fleet.restart("front-1-0")
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert fleet.entries["front-1-0"].quarantine.is_quarantined(CRASHING)
 
 
 class QuarantineMachine(RuleBasedStateMachine):
-    """Applies ends, responses, releases, cuts and restarts in any order.
+    """Applies ends, responses, releases, partitions and restarts in any order.
 
     One request always ends its backend; the others are harmless but may be running on a backend
     that ends. All entries must converge, and a request answered after its last ended run must not
@@ -126,19 +126,19 @@
         self.answered.add(name)
 
     @rule(domain=st.sampled_from(["domain-0", "domain-1"]))
-    def cut(self, domain: str) -> None:
+    def partition(self, domain: str) -> None:
         self.fleet.partitioned = {domain}
-        self.fleet.run_turns(1)
+        self.fleet.run_steps(1)
 
     @rule()
-    def pass_time(self) -> None:
-        self.fleet.run_turns(2)
+    def advance_time(self) -> None:
+        self.fleet.run_steps(2)
 
     @rule(entry=st.integers(0, 5))
     def restart(self, entry: int) -> None:
         self.settle()
         self.fleet.kill(self.names[entry])
-        self.fleet.run_turns(1)
+        self.fleet.run_steps(1)
         self.fleet.restart(self.names[entry])
 
     @rule(entry=st.integers(0, 5))
@@ -153,7 +153,7 @@
     @rule()
     def settle(self) -> None:
         self.fleet.partitioned = set()
-        self.fleet.run_turns(SETTLE_TURNS)
+        self.fleet.run_steps(SETTLE_STEPS)
         known = [e.quarantine.cases() for e in self.fleet.entries.values()]
         assert all(cases == known[0] for cases in known)
         for entry in self.fleet.entries.values():
@@ -184,9 +184,9 @@
     seed: int
     backends: int = 40
     #: Fraction of requests that are identical.
-    hot: float = 0.0
+    hot_fraction: float = 0.0
     #: Number of immediate retries by a caller.
-    repeats: int = 1
+    caller_retries: int = 1
     clock: ManualClock = field(default_factory=lambda: ManualClock(start=100_000))
 
     def __post_init__(self) -> None:
@@ -199,13 +199,13 @@
         #: Requests in progress: name, backend, completion time, attempts left.
         self.in_flight: list[tuple[str, int, int, int]] = []
         self.starts = [0] * self.backends
-        self.back_at = [0] * self.backends
+        self.restart_at = [0] * self.backends
 
     def send(self, name: str, attempts: int) -> None:
         if self.quarantine.is_quarantined(name):
             self.refused += 1
             return
-        up = [b for b in range(self.backends) if self.back_at[b] <= self.clock.now()]
+        up = [b for b in range(self.backends) if self.restart_at[b] <= self.clock.now()]
         if up:
             done = self.clock.now() + self.rng.randint(1_000, 2_000)
             self.in_flight.append((name, self.rng.choice(up), done, attempts))
@@ -215,7 +215,7 @@
         broken = [each for each in self.in_flight if each[1] in ending]
         self.in_flight = [each for each in self.in_flight if each[1] not in ending]
         for backend in ending:
-            self.back_at[backend] = self.clock.now() + 3 * SECOND
+            self.restart_at[backend] = self.clock.now() + 3 * SECOND
             self.starts[backend] += 1
             self.ends += 1
         for name, backend, _, _ in broken:
@@ -225,13 +225,13 @@
             if attempts:
                 self.send(name, attempts - 1)
 
-    def play(self, seconds: int, every: int, ending: list[list[int]]) -> None:
+    def simulate(self, seconds: int, every: int, ending: list[list[int]]) -> None:
         """Send 40 requests a second, and apply the next entry of ``ending`` every ``every`` ms."""
         for turn in range(seconds * 40):
             self.clock.advance(25)
             self.sent += 1
-            is_hot = self.rng.random() < self.hot
-            self.send("hot" if is_hot else f"r-{turn}", 1 + 2 * self.repeats)
+            is_hot = self.rng.random() < self.hot_fraction
+            self.send("hot" if is_hot else f"r-{turn}", 1 + 2 * self.caller_retries)
             done = [each for each in self.in_flight if each[2] <= self.clock.now()]
             self.in_flight = [each for each in self.in_flight if each[2] > self.clock.now()]
             for name, _, _, _ in done:
@@ -274,10 +274,10 @@
 @pytest.mark.parametrize("cause", EXTERNAL_CAUSES, ids=[c[0] for c in EXTERNAL_CAUSES])
 def test_ends_with_external_causes_quarantine_no_request(cause: tuple) -> None:  # type: ignore[type-arg]
     """Ends with an external cause must not lead to a quarantine."""
-    _, plan, every, hot, repeats = cause
+    _, plan, every, hot_fraction, caller_retries = cause
     for seed in range(20):
-        fleet = CrashingFleet(seed, hot=hot, repeats=repeats)
-        fleet.play(20, every, plan(random.Random(seed)))
+        fleet = CrashingFleet(seed, hot_fraction=hot_fraction, caller_retries=caller_retries)
+        fleet.simulate(20, every, plan(random.Random(seed)))
         assert fleet.ends
         assert not fleet.blamed, (seed, fleet.blamed)
         assert not fleet.refused
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -16,7 +16,7 @@
 from canvasyoke.direct import _peers
 from canvasyoke.direct._backend_limits import RateLimit
 from canvasyoke.direct._backend_notices import SharedNotice
-from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
+from canvasyoke.direct.tests.fleet_model import SETTLE_STEPS, SimFleet, SimLinks
 from canvasyoke.protocol import BackendNews
 from canvasyoke.state import EndpointState, Note
 
@@ -38,7 +38,7 @@
         fleet.change(f"b-{n}", EndpointState.READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     return fleet
 
 
@@ -52,7 +52,7 @@
     fleet.change("b-1", EndpointState.LEAVING)
     fleet.apply_watch_events(fleet.nodes[0].name)
     hops = 0
-    while any(e.knows() != fleet.expected() for e in fleet.entries.values()):
+    while any(e.known_backends() != fleet.expected() for e in fleet.entries.values()):
         assert fleet.deliver_hop()
         hops += 1
     while fleet.deliver_hop():
@@ -64,16 +64,16 @@
 def test_new_link_delivers_missed_changes() -> None:
     fleet = started(SIZES)
     fleet.partitioned = {"domain-1"}
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
     fleet.apply_watch_events(fleet.nodes[0].name)
-    fleet.run_turns(SETTLE_TURNS)
-    behind = [n for n, e in fleet.entries.items() if e.knows() != fleet.expected()]
+    fleet.run_steps(SETTLE_STEPS)
+    behind = [n for n, e in fleet.entries.items() if e.known_backends() != fleet.expected()]
     assert {fleet.entries[n].node.domain for n in behind} == {"domain-1"}
     fleet.partitioned = set()
-    fleet.run_turns(SETTLE_TURNS)
-    assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all(e.known_backends() == fleet.expected() for e in fleet.entries.values())
 
 
 def test_missed_changes_are_relayed_over_existing_links(
@@ -81,17 +81,17 @@
 ) -> None:
     """A single link reconnects each pair of domains; the links within them stayed open."""
     fleet = started((6, 5, 4))
-    near = {pair for pair in fleet.wanted() if pair[0][:7] == pair[1][:7]}
+    near = {pair for pair in fleet.expected_links() if pair[0][:7] == pair[1][:7]}
     bridge = {("front-0-0", "front-1-0"), ("front-1-0", "front-2-0")}
     monkeypatch.setattr(fleet, "wanted", lambda: near)
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     fleet.change("b-1", None)
     fleet.change("b-9", EndpointState.READY)
     fleet.apply_watch_events("front-0-0")
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     monkeypatch.setattr(fleet, "wanted", lambda: near | bridge)
-    fleet.run_turns(SETTLE_TURNS)
-    assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all(e.known_backends() == fleet.expected() for e in fleet.entries.values())
 
 
 def test_change_lost_by_the_store_is_recovered_from_a_list() -> None:
@@ -99,17 +99,17 @@
     fleet = started(SIZES)
     watcher = fleet.nodes[0].name
     fleet.revision += 1
-    lost = next(iter(fleet.truth.values()))
-    fleet.truth["b-lost"] = type(lost)(
+    lost = next(iter(fleet.stored.values()))
+    fleet.stored["b-lost"] = type(lost)(
         "b-lost", "ink", "10.9.9.9:1", "domain-0", 3, EndpointState.READY, fleet.revision
     )
     fleet.change("b-2", EndpointState.LEAVING)
     fleet.apply_watch_events(watcher)
-    fleet.run_turns(SETTLE_TURNS)
-    assert all("b-lost" not in e.knows() for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all("b-lost" not in e.known_backends() for e in fleet.entries.values())
     fleet.list_store(watcher)
-    fleet.run_turns(SETTLE_TURNS)
-    assert all("b-lost" in e.knows() for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all("b-lost" in e.known_backends() for e in fleet.entries.values())
 
 
 def test_backend_removed_before_a_list_is_removed_everywhere() -> None:
@@ -119,8 +119,8 @@
     fleet.apply_watch_events("front-0-5")
     fleet.change("b-9", None)
     fleet.list_store("front-0-0")
-    fleet.run_turns(SETTLE_TURNS)
-    assert all(e.knows() == fleet.expected() for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all(e.known_backends() == fleet.expected() for e in fleet.entries.values())
 
 
 def test_replaced_sessions_are_released() -> None:
@@ -130,7 +130,7 @@
     for _ in range(20):
         fleet.open("front-0-0", "front-0-1")
         fleet.open("front-0-1", "front-0-0")
-        fleet.run_turns(4)
+        fleet.run_steps(4)
     gc.collect()
     assert len(entry.peers._backends._synced) <= len(entry.links.open)
 
@@ -140,7 +140,7 @@
     first = fleet.entries[fleet.nodes[0].name]
     assert first.roster.learn_group("b-1", "g-1")
     first.peers.announce_group("b-1", "g-1")
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert all(e.roster.groups() == {"b-1": "g-1"} for e in fleet.entries.values())
 
 
@@ -172,13 +172,13 @@
 def test_new_link_delivers_valid_backend_notices() -> None:
     fleet = started((6, 5, 4))
     fleet.partitioned = {"domain-1"}
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     announce_leaving(fleet, fleet.nodes[0].name, "b-1")
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     ready = {e.node.domain for e in fleet.entries.values() if e.roster.is_ready("b-1")}
     assert ready == {"domain-1"}
     fleet.partitioned = set()
-    fleet.run_turns(2)
+    fleet.run_steps(2)
     assert not any(e.roster.is_ready("b-1") for e in fleet.entries.values())
 
 
@@ -190,9 +190,9 @@
     assert busy.peers._shares.share("ink").fraction < 0.3, "no demand is sent without a limit"
     busy.roster.merge_peer_notice(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
     busy.peers.announce_notice(SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(7.0)))
-    for _ in range(SETTLE_TURNS):
+    for _ in range(SETTLE_STEPS):
         busy.peers._budget.record_request("ink")
-        fleet.run_turns(1)
+        fleet.run_steps(1)
     assert all(entry.roster.has_limits for entry in others)
     assert busy.peers._shares.share("ink").fraction > 0.9
     assert all(entry.peers._shares.share("ink").fraction < 0.05 for entry in others)
@@ -206,7 +206,7 @@
         notice = SharedNotice("b-1", "10.9.0.1:b-1", limit=RateLimit(rate))
         entry.roster.merge_peer_notice(notice)
         entry.peers.announce_notice(notice)
-        fleet.run_turns(SETTLE_TURNS)
+        fleet.run_steps(SETTLE_STEPS)
         assert {e.roster.has_limits for e in fleet.entries.values()} == {holds}
 
 
@@ -214,7 +214,7 @@
     fleet = started(SIZES)
     first = fleet.entries[fleet.nodes[0].name]
     first.roster._members["b-1"].own_requests = 2
-    fleet.run_turns(SETTLE_TURNS // 2)
+    fleet.run_steps(SETTLE_STEPS // 2)
     heard = {
         e.node.domain
         for e in fleet.entries.values()
@@ -228,11 +228,11 @@
 def test_outdated_change_is_ignored() -> None:
     fleet = started(SIZES)
     entry = fleet.entries[fleet.nodes[3].name]
-    before = entry.knows()
+    before = entry.known_backends()
     session = next(iter(entry.links.open.values()))
     old = BackendNews("b-1", "ink", "10.9.0.1:9", "domain-0", 3, False, True, 2)
     entry.peers._handle_message(session, old)  # type: ignore[arg-type]
-    assert entry.knows() == before
+    assert entry.known_backends() == before
 
 
 def test_unresponsive_store_does_not_delay_links(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -293,9 +293,9 @@
     def announce_leaving(self, n: int, backend: int) -> None:
         announce_leaving(self.fleet, self.watcher(n), f"b-{backend}")
 
-    @rule(turns=st.integers(1, 6))
-    def wait(self, turns: int) -> None:
-        self.fleet.run_turns(turns)
+    @rule(steps=st.integers(1, 6))
+    def wait(self, steps: int) -> None:
+        self.fleet.run_steps(steps)
 
     @rule(domain=st.integers(0, 2))
     def partition(self, domain: int) -> None:
@@ -324,20 +324,20 @@
         self.fleet.partitioned = set()
         self.fleet.reconcile_links()
         self.fleet.list_store(self.watcher(0))
-        self.fleet.run_turns(SETTLE_TURNS)
+        self.fleet.run_steps(SETTLE_STEPS)
         for name, entry in self.fleet.entries.items():
-            known = {backend: state for backend, (_, state) in entry.knows().items()}
-            true = {e.id: e.state.name for e in self.fleet.truth.values()}
+            known = {backend: state for backend, (_, state) in entry.known_backends().items()}
+            true = {e.id: e.state.name for e in self.fleet.stored.values()}
             assert known == true, name
             runs = {e.run for e in entry.roster.endpoints()}
-            assert runs == {e.run for e in self.fleet.truth.values()}, name
-        notice = {frozenset(e.roster.notices_to_share()) for e in self.fleet.entries.values()}
-        assert len(notice) == 1
+            assert runs == {e.run for e in self.fleet.stored.values()}, name
+        shared = {frozenset(e.roster.notices_to_share()) for e in self.fleet.entries.values()}
+        assert len(shared) == 1
 
     @invariant()
     def positions_never_decrease(self) -> None:
         for name, entry in self.fleet.entries.items():
-            for backend, (position, _) in entry.knows().items():
+            for backend, (position, _) in entry.known_backends().items():
                 key = (name, id(entry), backend)
                 assert position >= self.seen.get(key, 0)
                 self.seen[key] = position
--- a/src/canvasyoke/direct/tests/test_store_restore.py
+++ b/src/canvasyoke/direct/tests/test_store_restore.py
@@ -10,8 +10,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from canvasyoke.direct import _peers
-from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimLinks
-from canvasyoke.direct.tests.restored_fleet import RESTORE_TURNS, RestoredFleet, Snapshot
+from canvasyoke.direct.tests.fleet_model import SETTLE_STEPS, SimLinks
+from canvasyoke.direct.tests.restored_fleet import RESTORE_STEPS, RestoredFleet, Snapshot
 from canvasyoke.state import EndpointState
 
 SIZES = (4, 3, 3)
@@ -31,7 +31,7 @@
         fleet.change(f"b-{n}", READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert not fleet.wrong_views()
     return fleet
 
@@ -46,11 +46,11 @@
     fleet.change("b-2", None)
     fleet.change("b-4", READY)
     fleet.apply_watch_events_at_watchers()
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     assert not fleet.wrong_views()
     fleet.restore(snapshot)
-    for step in range(RESTORE_TURNS):
-        fleet.run_turns(1)
+    for step in range(RESTORE_STEPS):
+        fleet.run_steps(1)
         for name, known in fleet.wrong_views().items():
             assert known.get("b-1") == "LEAVING", (step, name)
             assert "b-2" not in known, (step, name)
@@ -65,12 +65,12 @@
     fleet.change("b-4", READY)
     fleet.change("b-1", LEAVING)
     fleet.apply_watch_events_at_watchers()
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     fleet.restore(snapshot)
     fleet.change("b-4", None)
     fleet.change("b-1", READY, is_restart=True)
     fleet.apply_watch_events_at_watchers()
-    fleet.run_turns(RESTORE_TURNS)
+    fleet.run_steps(RESTORE_STEPS)
     assert not fleet.wrong_views()
 
 
@@ -86,18 +86,18 @@
         fleet.change(f"b-{n}", READY)
     for name in fleet.entries:
         fleet.list_store(name)
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     snapshot = fleet.snapshot()
     for n in range(5):
         fleet.change(f"b-{n}", LEAVING)
     fleet.apply_watch_events_at_watchers()
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     fleet.delivered = 0
-    fleet.run_turns(RESTORE_TURNS)
+    fleet.run_steps(RESTORE_STEPS)
     calm = fleet.delivered
     fleet.restore(snapshot)
     fleet.delivered = 0
-    fleet.run_turns(RESTORE_TURNS)
+    fleet.run_steps(RESTORE_STEPS)
     assert not fleet.wrong_views()
     assert fleet.delivered <= calm + 2 * 5 * entries * (entries - 1) + 2 * entries
 
@@ -108,15 +108,15 @@
     fleet.change("b-1", LEAVING)
     fleet.change("b-2", None)
     fleet.apply_watch_events_at_watchers()
-    fleet.run_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     fleet.restore(snapshot, relist=False)
     fleet.kill("front-0-0")
     fleet.restart("front-0-0")
     fleet.list_store("front-0-0")  # the new entry is the first to list the restored store
-    fleet.run_turns(1)
+    fleet.run_steps(1)
     fleet.list_store_at_watchers()
-    fleet.run_turns(3)
-    known = fleet.entries["front-0-0"].knows()
+    fleet.run_steps(3)
+    known = fleet.entries["front-0-0"].known_backends()
     assert known["b-1"][1] == "LEAVING"
     assert "b-2" not in known
 
@@ -160,12 +160,12 @@
         self.fleet.restore(self.snapshots[-1 - n % len(self.snapshots[-3:])], relist=relist)
         self.snapshots = [self.fleet.snapshot()]
         if not relist:
-            self.fleet.run_turns(2)
+            self.fleet.run_steps(2)
             self.fleet.list_store_at_watchers()
 
-    @rule(turns=st.integers(1, 20))
-    def wait(self, turns: int) -> None:
-        self.fleet.run_turns(turns)
+    @rule(steps=st.integers(1, 20))
+    def wait(self, steps: int) -> None:
+        self.fleet.run_steps(steps)
 
     @rule(domain=st.integers(1, 2))
     def partition(self, domain: int) -> None:
@@ -186,7 +186,7 @@
     @rule()
     def settle(self) -> None:
         self.fleet.partitioned = set()
-        self.fleet.run_turns(RESTORE_TURNS)
+        self.fleet.run_steps(RESTORE_STEPS)
         assert not self.fleet.wrong_views()
         self.snapshots = [self.fleet.snapshot()]
 
