--- a/src/canvasyoke/direct/_known_backends.py
+++ b/src/canvasyoke/direct/_known_backends.py
@@ -197,7 +197,7 @@
         self.store_restore.observe_position(position, self.is_known)
 
     def _may_be_rewritten(self, endpoint: Endpoint) -> bool:
-        """Return whether a backend that a list lacks may be alive and about to rewrite its entry."""
+        """Return whether a backend that a list lacks may be about to rewrite its entry."""
         is_of_earlier_era = era_of(endpoint.position) < self.store_restore.era
         return is_of_earlier_era and self.store_restore.lacks_backends
 
--- a/src/canvasyoke/direct/_peers.py
+++ b/src/canvasyoke/direct/_peers.py
@@ -122,9 +122,9 @@
         self._thread.start()
 
     @property
-    def linked(self) -> int:
+    def link_count(self) -> int:
         """Number of linked entries."""
-        return self._links.linked
+        return self._links.link_count
 
     def is_watching(self) -> bool:
         """Return whether this entry watches the store for its domain."""
@@ -169,7 +169,7 @@
 
     def _discover(self) -> None:
         era = self._roster.era
-        nodes = self._notes.poll(self.linked > 0, era)
+        nodes = self._notes.poll(self.link_count > 0, era)
         if nodes is not None:
             self._discovered = nodes
         self._quarantine_notes.sync(era)
--- a/src/canvasyoke/direct/_process.py
+++ b/src/canvasyoke/direct/_process.py
@@ -306,7 +306,7 @@
             lambda: self._quarantine.suspects,
         )
         gauge("canvasyoke_log_lines_dropped", "Lost log lines.", lambda: self._log_writer.dropped)
-        gauge("canvasyoke_peers", "Entries linked with.", lambda: self._peers.linked)
+        gauge("canvasyoke_peers", "Entries linked with.", lambda: self._peers.link_count)
         gauge(
             "canvasyoke_watches_store",
             "1 while this entry watches the store for its failure domain.",
--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -65,7 +65,7 @@
         return is_mesh(len(self.nodes) + 1)
 
     @property
-    def linked(self) -> int:
+    def link_count(self) -> int:
         return len(self.open)
 
     def sessions(self) -> list[Session]:
--- a/src/canvasyoke/direct/tests/test_backend_health.py
+++ b/src/canvasyoke/direct/tests/test_backend_health.py
@@ -45,7 +45,7 @@
     return roster
 
 
-def play_events(roster: Roster, clock: ManualClock, pause: int, events: int) -> None:
+def record_events(roster: Roster, clock: ManualClock, pause: int, events: int) -> None:
     """Record further events of the stream at the first backend."""
     for _ in range(events):
         clock.advance(pause)
@@ -82,7 +82,7 @@
     expected: bool,
 ) -> None:
     if is_progressing:
-        play_events(roster, clock, 100, waited // 100)
+        record_events(roster, clock, 100, waited // 100)
     else:
         clock.advance(waited)
     roster.update_peer_load("entry-2", PeerLoad(1, {RANKS[1]: others}))
@@ -162,10 +162,10 @@
     reported: list[tuple[str, float]] = []
     port = _PacePort({RANKS[4]: 12.0})
     monitor = make_monitor(port, roster, reported)
-    play_events(roster, clock, 90, 20)
+    record_events(roster, clock, 90, 20)
     monitor.poll()
     assert port.queried == []
-    play_events(roster, clock, 300, 40)
+    record_events(roster, clock, 300, 40)
     monitor.poll()
     assert sorted(port.queried) == RANKS
     assert reported == [(RANKS[4], 12.0)]
@@ -176,7 +176,7 @@
     port = _PacePort({})
     monitor = make_monitor(port, roster, reported)
     roster.learn_pace(RANKS[4], 12.0)
-    play_events(roster, clock, 90, 20)
+    record_events(roster, clock, 90, 20)
     monitor.poll()
     assert port.queried == [RANKS[4]]
     assert reported == [(RANKS[4], 1.0)]
--- a/src/canvasyoke/direct/tests/test_backoff.py
+++ b/src/canvasyoke/direct/tests/test_backoff.py
@@ -241,7 +241,7 @@
     return call
 
 
-def test_a_stream_is_moved_off_a_unresponsive_backend(entry: _Entry) -> None:
+def test_a_stream_is_moved_off_an_unresponsive_backend(entry: _Entry) -> None:
     budget = _Entry(lambda _: REFUSAL).spend_all_retries()
     call = unresponsive_call(entry, "b-1")
     assert entry.forwarder.close_if_unresponsive(call)
@@ -250,7 +250,7 @@
     assert entry.spend_all_retries() == budget - 1
 
 
-def test_a_stream_stays_with_a_unresponsive_backend_if_no_other_takes_requests(
+def test_a_stream_stays_with_an_unresponsive_backend_if_no_other_takes_requests(
     entry: _Entry,
 ) -> None:
     """No other backend could resume the stream."""
@@ -259,7 +259,7 @@
     assert not entry.forwarder.close_if_unresponsive(call)
 
 
-def test_a_stream_stays_with_a_unresponsive_backend_if_no_retry_is_left(entry: _Entry) -> None:
+def test_a_stream_stays_with_an_unresponsive_backend_if_no_retry_is_left(entry: _Entry) -> None:
     """Ending the stream would turn a late answer into an immediate failure."""
     call = unresponsive_call(entry, "b-1")
     entry.spend_all_retries()
--- a/src/canvasyoke/direct/tests/test_forwarder.py
+++ b/src/canvasyoke/direct/tests/test_forwarder.py
@@ -149,7 +149,7 @@
     assert len(tried) == 2
 
 
-def test_an_exchange_with_a_unresponsive_backend_is_ended_within_the_attempts() -> None:
+def test_an_exchange_with_an_unresponsive_backend_is_ended_within_the_attempts() -> None:
     clock = ManualClock(start=10_000)
     roster = Roster("nbo-a", clock, random.Random(1))
     roster.merge(
--- a/src/canvasyoke/membership/_links.py
+++ b/src/canvasyoke/membership/_links.py
@@ -64,7 +64,7 @@
         return is_mesh(len(self._nodes) + 1)
 
     @property
-    def linked(self) -> int:
+    def link_count(self) -> int:
         """Number of linked processes."""
         return len(self.sessions())
 
--- a/src/canvasyoke/membership/tests/test_overlay.py
+++ b/src/canvasyoke/membership/tests/test_overlay.py
@@ -24,23 +24,23 @@
 
 def links(nodes: list[Node], unavailable: frozenset[str] = frozenset()) -> dict[str, set[str]]:
     """Return the neighbors of each process once all have dialled their peers."""
-    linked: defaultdict[str, set[str]] = defaultdict(set)
+    neighbors: defaultdict[str, set[str]] = defaultdict(set)
     for own in nodes:
         others = [p for p in nodes if p is not own and p.name not in unavailable]
         for name in choose_peers(own, others):
-            linked[own.name].add(name)
-            linked[name].add(own.name)
-    return linked
+            neighbors[own.name].add(name)
+            neighbors[name].add(own.name)
+    return neighbors
 
 
-def count_hops(linked: dict[str, set[str]], start: str) -> dict[str, int]:
+def count_hops(neighbors: dict[str, set[str]], start: str) -> dict[str, int]:
     """Return the distance in hops from ``start`` to each reachable process."""
     reached = {start: 0}
     frontier = [start]
     while frontier:
-        frontier = [name for at in frontier for name in linked[at] if name not in reached]
+        frontier = [name for at in frontier for name in neighbors[at] if name not in reached]
         for name in frontier:
-            reached_neighbors = [reached[n] for n in linked[name] if n in reached]
+            reached_neighbors = [reached[n] for n in neighbors[name] if n in reached]
             reached.setdefault(name, min(reached_neighbors) + 1)
     return reached
 
@@ -60,9 +60,9 @@
 @pytest.mark.parametrize(("sizes", "most", "farthest"), [case[1:] for case in FLEETS])
 def test_few_links_reach_all_in_few_hops(sizes: tuple[int, ...], most: int, farthest: int) -> None:
     nodes = fleet(*sizes)
-    linked = links(nodes)
-    assert max(len(names) for names in linked.values()) <= most
-    reached = count_hops(linked, nodes[0].name)
+    neighbors = links(nodes)
+    assert max(len(names) for names in neighbors.values()) <= most
+    reached = count_hops(neighbors, nodes[0].name)
     assert len(reached) == len(nodes)
     assert max(reached.values()) <= farthest
 
@@ -80,8 +80,8 @@
     alive = [p for p in nodes if p.name not in unavailable]
     if not alive:
         return
-    linked = links(alive, unavailable)
-    assert len(count_hops(linked, alive[0].name)) == len(alive)
+    neighbors = links(alive, unavailable)
+    assert len(count_hops(neighbors, alive[0].name)) == len(alive)
 
 
 def test_partitioned_domain_leaves_the_others_connected() -> None:
--- a/src/canvasyoke/membership/tests/test_watcher_election.py
+++ b/src/canvasyoke/membership/tests/test_watcher_election.py
@@ -46,30 +46,30 @@
         self.alive[name].set_domain([p.name for p in self.nodes])
 
     def links(self) -> dict[str, set[str]]:
-        linked: defaultdict[str, set[str]] = defaultdict(set)
+        neighbors: defaultdict[str, set[str]] = defaultdict(set)
         living = [p for p in self.nodes if p.name in self.alive]
         for node in living:
             for name in choose_peers(node, [p for p in living if p is not node]):
-                linked[node.name].add(name)
-                linked[name].add(node.name)
-        return linked
+                neighbors[node.name].add(name)
+                neighbors[name].add(node.name)
+        return neighbors
 
-    def pass_time(self, duration: int) -> None:
+    def advance(self, duration: int) -> None:
         for _ in range(duration // DECIDE_INTERVAL):
             self.clock.advance(DECIDE_INTERVAL)
-            linked = self.links()
+            neighbors = self.links()
             for name, election in self.alive.items():
-                election.decide(bool(linked[name]), is_mesh=False)
+                election.decide(bool(neighbors[name]), is_mesh=False)
             if self.clock.now() // DECIDE_INTERVAL % (REPORT_INTERVAL // DECIDE_INTERVAL) == 0:
-                self.exchange_reports(linked)
+                self.exchange_reports(neighbors)
             self.unwatched_for = (
                 0 if self.connected_watchers() else self.unwatched_for + DECIDE_INTERVAL
             )
 
-    def exchange_reports(self, linked: dict[str, set[str]]) -> None:
+    def exchange_reports(self, neighbors: dict[str, set[str]]) -> None:
         statuses_by_name = {name: election.statuses() for name, election in self.alive.items()}
         for name, election in self.alive.items():
-            for other in linked[name]:
+            for other in neighbors[name]:
                 election.receive(statuses_by_name[other])
 
     def watchers(self) -> list[str]:
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("size", [1, 2, 5, 22, 44])
 def test_two_processes_of_a_domain_watch(size: int) -> None:
     domain = Domain(size)
-    domain.pass_time(10 * SECOND)
+    domain.advance(10 * SECOND)
     order = sorted((p.name for p in domain.nodes), key=hash_order)
     assert sorted(domain.watchers(), key=hash_order) == order[:2]
 
@@ -101,46 +101,46 @@
 def test_simultaneous_start_leaves_two_watchers() -> None:
     """Additional watchers would all be woken by every backend that registers."""
     domain = Domain(22)
-    domain.pass_time(4 * DECIDE_INTERVAL)
+    domain.advance(4 * DECIDE_INTERVAL)
     assert len(domain.watchers()) == 2
 
 
 def test_next_process_replaces_failed_watcher_until_it_restarts() -> None:
     domain = Domain(22)
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     order = sorted((p.name for p in domain.nodes), key=hash_order)
     del domain.alive[order[0]]
-    domain.pass_time(BOUND)
+    domain.advance(BOUND)
     assert sorted(domain.watchers(), key=hash_order) == order[1:3]
     domain.start_process(order[0])
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     assert sorted(domain.watchers(), key=hash_order) == order[:2]
 
 
 def test_disconnected_watcher_is_replaced() -> None:
     domain = Domain(22)
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     order = sorted((p.name for p in domain.nodes), key=hash_order)
     domain.disconnected.add(order[0])
-    domain.pass_time(BOUND)
+    domain.advance(BOUND)
     assert sorted(domain.connected_watchers(), key=hash_order) == order[1:3]
 
 
 def test_watchers_report_that_they_lost_the_store() -> None:
     """Replacement must not wait for the timeout of 2.5 s, even if both lose the store."""
     domain = Domain(22)
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     domain.disconnected.update(domain.watchers())
-    domain.pass_time(5 * REPORT_INTERVAL + 700 + 2 * DECIDE_INTERVAL)
+    domain.advance(5 * REPORT_INTERVAL + 700 + 2 * DECIDE_INTERVAL)
     assert domain.connected_watchers()
 
 
 def test_store_outage_starts_few_watchers() -> None:
     """Not every process of the domain may call a store that does not answer."""
     domain = Domain(22)
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     domain.disconnected.update(p.name for p in domain.nodes)
-    domain.pass_time(5 * SECOND)
+    domain.advance(5 * SECOND)
     assert len(domain.watchers()) <= 8
 
 
@@ -211,7 +211,7 @@
 
     @rule(duration=st.integers(1, 40))
     def wait(self, duration: int) -> None:
-        self.domain.pass_time(duration * DECIDE_INTERVAL)
+        self.domain.advance(duration * DECIDE_INTERVAL)
 
     @invariant()
     def domain_is_watched(self) -> None:
