--- a/src/canvasyoke/direct/tests/fleet_model.py
+++ b/src/canvasyoke/direct/tests/fleet_model.py
@@ -176,7 +176,7 @@
     def can_reach(self, one: Node, other: Node) -> bool:
         return one.domain == other.domain or not {one.domain, other.domain} & self.partitioned
 
-    def expected_links(self) -> set[tuple[str, str]]:
+    def wanted(self) -> set[tuple[str, str]]:
         """Return the pairs of entries that the overlay links."""
         pairs = set()
         alive = [e.node for e in self.entries.values()]
@@ -188,7 +188,7 @@
 
     def reconcile_links(self) -> None:
         """Open missing links, and close those that are no longer wanted."""
-        wanted = self.expected_links()
+        wanted = self.wanted()
         for name, entry in self.entries.items():
             for peer, session in list(entry.links.open.items()):
                 if (min(name, peer), max(name, peer)) not in wanted:
--- a/src/canvasyoke/direct/tests/test_spread.py
+++ b/src/canvasyoke/direct/tests/test_spread.py
@@ -81,7 +81,7 @@
 ) -> None:
     """A single link reconnects each pair of domains; the links within them stayed open."""
     fleet = started((6, 5, 4))
-    near = {pair for pair in fleet.expected_links() if pair[0][:7] == pair[1][:7]}
+    near = {pair for pair in fleet.wanted() if pair[0][:7] == pair[1][:7]}
     bridge = {("front-0-0", "front-1-0"), ("front-1-0", "front-2-0")}
     monkeypatch.setattr(fleet, "wanted", lambda: near)
     fleet.run_steps(2)
