--- a/src/canvasyoke/entry/_dispatch.py
+++ b/src/canvasyoke/entry/_dispatch.py
@@ -47,14 +47,14 @@
 _NON_IDEMPOTENT_RESUME_TIMEOUT: Final = 3 * SECOND
 #: Maximum number of targets at which a waiting request is queued at once.
 _MAX_QUEUED_ATTEMPTS: Final = 4
-#: Milliseconds between checks of the connection to the caller and of the link.
+#: Milliseconds between checks of the caller's connection and of the link to the target.
 _LIVENESS_CHECK_INTERVAL: Final = 200
 #: Milliseconds before selection is repeated if no target is available.
 _SELECTION_RETRY_INTERVAL: Final = 50
 #: Milliseconds that a request waits for an available target.
 _SELECTION_TIMEOUT: Final = 3 * SECOND
 _RETRY_AFTER: Final = 1 * SECOND
-#: Milliseconds of waiting for a target from which on the wait is logged.
+#: Milliseconds of waiting for a target after which the wait is logged.
 _WAIT_LOG_THRESHOLD: Final = 500
 #: Reasons of refusals that count as failures of the target.
 _TARGET_FAILURES: Final = frozenset(
@@ -101,7 +101,7 @@
     #: Whether the head, and how many chunks, have been passed to the caller.
     head_sent: bool = False
     chunks_delivered: int = 0
-    #: HTTP status of that head.
+    #: HTTP status of the head passed to the caller.
     status: int = 0
 
 
@@ -179,18 +179,18 @@
     def _wait_for_target(self, call: Call) -> TargetClient | Refusal | CallerDisconnected:
         """Return a target, waiting for a limited time until one is available."""
         started_at = self._clock.now()
-        give_up_at = min(call.deadline, started_at + _SELECTION_TIMEOUT)
+        wait_deadline = min(call.deadline, started_at + _SELECTION_TIMEOUT)
         last_reason = Reason.NO_TARGET
         while True:
-            found = self._select_target(call)
-            if isinstance(found, TargetClient):
-                self._log_wait(call, started_at, last_reason, found.instance)
-                return found
-            last_reason = found
-            if found is Reason.OVERLOADED or self._clock.now() >= give_up_at:
+            selected = self._select_target(call)
+            if isinstance(selected, TargetClient):
+                self._log_wait(call, started_at, last_reason, selected.instance)
+                return selected
+            last_reason = selected
+            if selected is Reason.OVERLOADED or self._clock.now() >= wait_deadline:
                 detail = "no target can take the request now"
-                self._log_wait(call, started_at, found, "")
-                return Refusal(Outcome.NOT_RUN, found, detail, _RETRY_AFTER)
+                self._log_wait(call, started_at, selected, "")
+                return Refusal(Outcome.NOT_RUN, selected, detail, _RETRY_AFTER)
             if call.is_disconnected():
                 return CallerDisconnected()
             if call.tried:
@@ -211,10 +211,10 @@
             )
 
     def _select_target(self, call: Call) -> TargetClient | Reason:
-        req = RouteRequest(call.run.service, self._domain, frozenset(call.tried))
+        route_request = RouteRequest(call.run.service, self._domain, frozenset(call.tried))
         if call.run.repeatable:
-            return self._pool.select(req)
-        return self._pool.select_key_owner(req, call.run.key, call.key_slots)
+            return self._pool.select(route_request)
+        return self._pool.select_key_owner(route_request, call.run.key, call.key_slots)
 
     def _run_attempt(
         self, call: Call, target: TargetClient, request_number: int
@@ -269,7 +269,7 @@
                 case Head():
                     group.cancel_standbys()
                     if call.head_sent and event.status != call.status:
-                        yield _link_lost("another target answered otherwise")
+                        yield _link_lost_refusal("another target answered otherwise")
                         return
                     if not call.head_sent:
                         call.head_sent, call.status = True, event.status
@@ -288,7 +288,7 @@
                         return
                 case AttemptLost():
                     target.ejection.record_failure()
-                    refusal = _link_lost("the target's process ended")
+                    refusal = _link_lost_refusal("the target's process ended")
                     if not group.try_fall_back(source, refusal):
                         yield refusal
                         return
@@ -371,5 +371,5 @@
                 return primary, AttemptLost()
 
 
-def _link_lost(detail: str) -> Refusal:
+def _link_lost_refusal(detail: str) -> Refusal:
     return Refusal(Outcome.UNKNOWN, Reason.LINK_LOST, detail)
--- a/src/canvasyoke/experts/_change.py
+++ b/src/canvasyoke/experts/_change.py
@@ -54,7 +54,7 @@
 #: Distances used after an order has timed out: arming then takes several timeouts, and a more
 #: distant step shortens the time for which the group is stopped.
 _STEPS_AHEAD_AFTER_TIMEOUT: Final = (5, 5, 6, 7, 8)
-#: Attempts to arm the ranks while the group is held.
+#: Maximum attempts to arm the ranks while the group is held.
 _MAX_ARM_ATTEMPTS: Final = 5
 #: Milliseconds between retries of operations that must succeed before the group can continue.
 _RETRY_INTERVAL: Final = 50
@@ -137,14 +137,14 @@
         self._check_epoch(reports.values())
         if not self._non_owner_ranks <= reports.keys():
             return ChangeResult.NOT_HELD
-        armed = {r: rep.armed for r, rep in reports.items() if rep.armed is not None}
+        armed = {r: report.armed for r, report in reports.items() if report.armed is not None}
         if self._non_owner_ranks <= armed.keys():
             return ChangeResult.NOT_HELD  # the owner's rank may be armed as well
-        held = {r: rep.held_step for r, rep in reports.items() if rep.held_step}
-        first_step = min((each.step for each in armed.values()), default=0)
+        held = {r: report.held_step for r, report in reports.items() if report.held_step}
+        first_step = min((state.step for state in armed.values()), default=0)
         if armed and not self._ensure_held_by(first_step, held):
             return ChangeResult.NOT_HELD
-        self._disarm(self._non_owner_ranks, {r: each.version for r, each in armed.items()})
+        self._disarm(self._non_owner_ranks, {r: state.version for r, state in armed.items()})
         self._release(held)
         return ChangeResult.ABANDONED
 
@@ -183,11 +183,15 @@
         armed = [report.armed for report in reports.values() if report.armed is not None]
         is_complete = len(armed) == self._group.size and len(set(armed)) == 1
         if (armed or held) and not is_complete:
-            if armed and not self._ensure_held_by(min(each.step for each in armed), held):
+            if armed and not self._ensure_held_by(min(state.step for state in armed), held):
                 return ChangeResult.NOT_HELD
             _log.info("recovering from an interrupted change", armed=len(armed), held=held)
             self._disarm_all(
-                {r: rep.armed.version for r, rep in reports.items() if rep.armed is not None}
+                {
+                    r: rank_report.armed.version
+                    for r, rank_report in reports.items()
+                    if rank_report.armed is not None
+                }
             )
         self._release(held)
         return ChangeResult.IN_FORCE if is_complete or not armed else ChangeResult.ABANDONED
@@ -212,7 +216,7 @@
             self._pause(_RETRY_INTERVAL / SECOND)
 
     def _prepare(self, new_map: NewMap) -> bool:
-        """Have all ranks copy their experts; return whether all have."""
+        """Have all ranks copy their experts; return whether all copies are complete."""
         fence = self._fences.next()
         order = MapOrder(
             MapOrderKind.PREPARE,
@@ -224,24 +228,28 @@
         started_at = self._clock.now()
         deadline = started_at + new_map.copy_time + _COPY_SLACK
         self._had_timeout = False
-        missing = set(range(self._group.size))
-        while missing:
-            results = self._group.send_orders(dict.fromkeys(missing, order), self._order_timeout)
+        pending = set(range(self._group.size))
+        while pending:
+            results = self._group.send_orders(dict.fromkeys(pending, order), self._order_timeout)
             self._check_results(results)
             outcomes = {result.outcome for result in results.values()}
             self._had_timeout = self._had_timeout or OrderOutcome.UNKNOWN in outcomes
-            missing = {r for r, o in results.items() if not _has_accepted(o, new_map.version)}
+            pending = {
+                r
+                for r, order_result in results.items()
+                if not _has_accepted(order_result, new_map.version)
+            }
             is_rejected = any(
                 results[r].outcome in (OrderOutcome.CONFLICT, OrderOutcome.REJECTED)
-                for r in missing
+                for r in pending
             )
-            if is_rejected or (missing and self._clock.now() > deadline):
+            if is_rejected or (pending and self._clock.now() > deadline):
                 _log.warning(
-                    "map not taken",
+                    "map not prepared by all ranks",
                     version=new_map.version,
-                    missing=len(missing),
+                    missing=len(pending),
                     ranks={
-                        r: results[r].outcome.value for r in sorted(missing)[:_MAX_LOGGED_RANKS]
+                        r: results[r].outcome.value for r in sorted(pending)[:_MAX_LOGGED_RANKS]
                     },
                 )
                 return False
@@ -250,34 +258,34 @@
 
     def _wait_for_copies(self, new_map: NewMap, deadline: int) -> bool:
         self._pause(new_map.copy_time / SECOND)
-        missing = set(range(self._group.size))
+        pending = set(range(self._group.size))
         reports: Mapping[int, RankReport] = {}
         while self._clock.now() < deadline:
             self.timings.polls += 1
             reports = self._group.fetch_reports(self._order_timeout)
             self._check_epoch(reports.values())
-            missing = set(range(self._group.size)) - {
+            pending = set(range(self._group.size)) - {
                 r for r, report in reports.items() if report.prepared == new_map.version
             }
-            if not missing:
+            if not pending:
                 return True
             self._pause(_POLL_INTERVAL / SECOND)
         _log.warning(
             "expert copies not finished in time",
             version=new_map.version,
-            missing=len(missing),
-            unheard=len(missing - reports.keys()),
-            ranks=sorted(missing)[:_MAX_LOGGED_RANKS],
+            missing=len(pending),
+            unheard=len(pending - reports.keys()),
+            ranks=sorted(pending)[:_MAX_LOGGED_RANKS],
         )
         return False
 
     def _hold(self) -> int:
         """Hold the group before an upcoming step; return that step, or 0 on failure."""
         fence = self._fences.next()
-        for ahead in _STEPS_AHEAD_AFTER_TIMEOUT if self._had_timeout else _STEPS_AHEAD:
+        for steps_ahead in _STEPS_AHEAD_AFTER_TIMEOUT if self._had_timeout else _STEPS_AHEAD:
             own = self._own_report()
             self._timing.record_step(own.step, self._clock.now())
-            step = own.step + ahead + self._timing.extra_steps
+            step = own.step + steps_ahead + self._timing.extra_steps
             order = MapOrder(MapOrderKind.HOLD, fence, self._epoch, step=step)
             results = self._group.send_orders_directly({HOLD_RANK: order}, self._order_timeout)
             self._check_results(results)
@@ -302,16 +310,18 @@
         )
 
     def _arm_ranks(self, ranks: Set[int], order: MapOrder) -> bool:
-        missing = set(ranks)
+        pending = set(ranks)
         for _ in range(_MAX_ARM_ATTEMPTS):
             self.timings.arm_attempts += 1
-            results = self._group.send_orders(dict.fromkeys(missing, order), self._order_timeout)
+            results = self._group.send_orders(dict.fromkeys(pending, order), self._order_timeout)
             self._check_results(results)
             expected = Armed(order.version, order.step)
-            missing = {r for r, o in results.items() if not _is_armed(o, expected)}
-            if not missing:
+            pending = {
+                r for r, order_result in results.items() if not _is_armed(order_result, expected)
+            }
+            if not pending:
                 return True
-            if any(results[r].outcome is OrderOutcome.CONFLICT for r in missing):
+            if any(results[r].outcome is OrderOutcome.CONFLICT for r in pending):
                 return False
         return False
 
@@ -325,8 +335,8 @@
 
     def _disarm(self, ranks: Set[int], armed: Mapping[int, int]) -> None:
         versions = dict(armed)
-        missing = set(ranks)
-        while missing:
+        pending = set(ranks)
+        while pending:
             fence = self._fences.next()
             orders = {
                 r: MapOrder(
@@ -335,38 +345,38 @@
                     self._epoch,
                     version=versions.get(r, _UNUSED_VERSION),
                 )
-                for r in missing
+                for r in pending
             }
             results = self._group.send_orders(orders, self._order_timeout)
             self._check_results(results)
             for rank, result in results.items():
                 if result.report is not None and result.report.armed is not None:
                     versions[rank] = result.report.armed.version
-            missing = {r for r, o in results.items() if not _is_disarmed(o)}
-            if missing:
+            pending = {r for r, order_result in results.items() if not _is_disarmed(order_result)}
+            if pending:
                 self._check_own_epoch()
                 self._pause(_RETRY_INTERVAL / SECOND)
 
     def _release(self, held: Mapping[int, int]) -> None:
         """Release the holds, retrying until every holding rank reports none."""
-        missing = dict(held)
-        while missing:
+        pending = dict(held)
+        while pending:
             fence = self._fences.next()
             orders = {
                 r: MapOrder(MapOrderKind.RELEASE, fence, self._epoch, step=step)
-                for r, step in missing.items()
+                for r, step in pending.items()
             }
             results = self._group.send_orders(orders, self._order_timeout)
             self._check_results(results)
             for rank, result in results.items():
                 if result.report is not None and not result.report.held_step:
-                    del missing[rank]
-            if missing:
+                    del pending[rank]
+            if pending:
                 self._check_own_epoch()
                 self._pause(_RETRY_INTERVAL / SECOND)
 
     def _own_report(self) -> RankReport:
-        """Return the own rank's report, retrying until it is available."""
+        """Return the report of this process's rank, retrying until it is available."""
         while True:
             report = self._group.own_report()
             if report is not None:
@@ -380,10 +390,16 @@
             self._check_epoch([report])
 
     def _check_results(self, results: Mapping[int, OrderResult]) -> None:
-        """Raise if the answers show another owner or another epoch."""
+        """Raise if the results show another owner or another epoch."""
         if any(result.outcome is OrderOutcome.FENCED for result in results.values()):
             raise _OwnerReplaced
-        self._check_epoch([o.report for o in results.values() if o.report is not None])
+        self._check_epoch(
+            [
+                order_result.report
+                for order_result in results.values()
+                if order_result.report is not None
+            ]
+        )
 
     def _check_epoch(self, reports: object) -> None:
         for report in reports:  # type: ignore[attr-defined]
@@ -392,7 +408,7 @@
 
 
 def _run_to_result(operation: Callable[[], ChangeResult]) -> ChangeResult:
-    """Run ``operation`` and translate the loss of the group into a result."""
+    """Run ``operation`` and translate a new owner or epoch into a result."""
     try:
         return operation()
     except _OwnerReplaced:
--- a/src/canvasyoke/protocol/_messages.py
+++ b/src/canvasyoke/protocol/_messages.py
@@ -84,7 +84,7 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel"):
-    """Entry to target: the caller has disconnected; stop the request if possible."""
+    """Entry to target: cancel the attempt if possible."""
 
     request: Count
     attempt: Count
@@ -195,7 +195,7 @@
 
 
 class ConfigRequest(msgspec.Struct, frozen=True, tag="config_wanted"):
-    """Entry or target: requests the peer's configuration if it is of a higher generation."""
+    """Entry or target: request the peer's configuration if its generation is higher."""
 
     generation: Count
 
@@ -330,9 +330,9 @@
     """An entry that watches the store for its failure domain."""
 
     name: Name
-    #: Milliseconds since the entry announced it.
+    #: Milliseconds since the entry announced that it watches the store.
     age: Count
-    #: Whether it has lost its connection to the store.
+    #: Whether the entry has lost its connection to the store.
     is_lost: bool = False
 
 
@@ -356,7 +356,7 @@
     told_at: Count = 0
     #: Store position up to which the entry knows all backends; 0 for none.
     backends_revision: Count = 0
-    #: Milliseconds since that list was confirmed to match the store.
+    #: Milliseconds since the list of backends was confirmed to match the store.
     backends_age: Count = 0
     #: Entries that watch the store; sent within a domain.
     watchers: Annotated[list[StoreWatcher], msgspec.Meta(max_length=100)] = []
@@ -367,14 +367,14 @@
 
 
 class TableRequest(msgspec.Struct, frozen=True, tag="table_wanted"):
-    """Direct entry to entry: requests the configuration that the peer has announced."""
+    """Direct entry to entry: request the configuration that the peer has announced."""
 
     #: Version that the requesting entry uses; 0 for none.
     version: Count
 
 
 class BackendListRequest(msgspec.Struct, frozen=True, tag="backends_wanted"):
-    """Direct entry to entry: requests the complete list of backends."""
+    """Direct entry to entry: request the complete list of backends."""
 
 
 class TableDocument(msgspec.Struct, frozen=True, tag="table_document"):
@@ -436,15 +436,15 @@
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, tag="crash_news"):
-    """Direct entry to entry: backends crashed during a request, or it was cleared."""
+    """Direct entry to entry: backends crashed during a request, or the request was cleared."""
 
     #: Digest of the request.
     fingerprint: Annotated[str, msgspec.Meta(max_length=64)]
-    #: Number of times it was cleared.
+    #: Number of times that the request was cleared.
     cleared: Count
-    #: Backend runs that crashed during it since.
+    #: Backend runs that crashed during the request since it was last cleared.
     runs: Annotated[list[Name], msgspec.Meta(max_length=10_000)] = []
-    #: Whether an entry has found it to be the cause.
+    #: Whether an entry has identified the request as the cause.
     is_blamed: bool = False
 
 
@@ -470,9 +470,9 @@
     address: Name
     #: Milliseconds of backoff requested from that entry; 0 for none.
     backoff: Count = 0
-    #: Whether it is about to shut down.
+    #: Whether the backend is about to shut down.
     is_leaving: bool = False
-    #: ``None`` if it has never reported a limit.
+    #: ``None`` if the backend has never reported a limit.
     limit: RelayedLimit | None = None
 
 
--- a/src/canvasyoke/target/_process.py
+++ b/src/canvasyoke/target/_process.py
@@ -58,7 +58,7 @@
 
 
 class TargetProcess:
-    """A process with the target role."""
+    """Serves the requests of entries with one backend until it is told to stop."""
 
     def __init__(self, settings: TargetSettings, clock: Clock | None = None) -> None:
         self._settings = settings
@@ -73,16 +73,16 @@
         self._sessions: dict[int, Session] = {}
         self._holding = NO_SLOTS
         self._load = SchedulerLoad(0, 0, 0)
-        self._leaving = threading.Event()
+        self._stop_requested = threading.Event()
         self._load_changed = threading.Event()
         self._started = False
         self._order_executor = ThreadPoolExecutor(max_workers=4, thread_name_prefix="order")
         self._rank_guard: RankGuard | None = None
         self._map_owner: MapOwner | None = None
-        self._config_keeper = ConfigKeeper.start(self._view, self._on_config)
+        self._config_keeper = ConfigKeeper.start(self._view, self._on_config_change)
         self._adopt_config = self._config_keeper.proxy().adopt
-        # Bind the address first: this proves that no previous process with this address is
-        # alive, which the lease relies on.
+        # Bind the address before taking the lease, which relies on no earlier process with this
+        # address being alive.
         self._server = LinkServer(
             settings.listen,
             bytes.fromhex(settings.link_key),
@@ -90,8 +90,8 @@
             self._incarnation,
             self._clock,
             self._on_message,
-            self._on_open,
-            self._on_close,
+            self._on_link_open,
+            self._on_link_close,
             self._current_load,
         )
         self._lease = LeaseManager(
@@ -109,7 +109,7 @@
             self._view,
             self._backend,
             self._lease,
-            self._on_load,
+            self._on_load_change,
         )
         self._scheduler = self._scheduler_ref.proxy()
         self._slot_manager = SlotManager(
@@ -118,14 +118,14 @@
             settings.service,
             settings.instance,
             self._key_slot_count,
-            SchedulerSlots(self._scheduler_ref, self._on_holding),
+            SchedulerSlots(self._scheduler_ref, self._on_holding_change),
             self._lease,
         )
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then drain; return the exit code."""
-        signal.signal(signal.SIGTERM, lambda *_: self._leaving.set())
-        signal.signal(signal.SIGINT, lambda *_: self._leaving.set())
+        signal.signal(signal.SIGTERM, lambda *_: self._stop_requested.set())
+        signal.signal(signal.SIGINT, lambda *_: self._stop_requested.set())
         self._server.start()
         self._slot_manager.start()
         probe_thread = threading.Thread(target=self._probe_loop, name="probe", daemon=True)
@@ -137,7 +137,7 @@
 
     def _serve(self) -> None:
         reported_at = 0
-        while not self._leaving.is_set():
+        while not self._stop_requested.is_set():
             load_changed = self._load_changed.wait(_TICK_INTERVAL / SECOND)
             self._load_changed.clear()
             self._scheduler.tick.defer()
@@ -145,11 +145,11 @@
             if load_changed or now - reported_at >= _REPORT_INTERVAL:
                 self._send_reports()
                 reported_at = now
-            self._leaving.wait(_TICK_INTERVAL / SECOND)
+            self._stop_requested.wait(_TICK_INTERVAL / SECOND)
 
     def _drain(self) -> None:
         """Announce the shutdown, release slots and leases, and finish accepted requests."""
-        _log.info("leaving", instance=self._settings.instance)
+        _log.info("stopping", instance=self._settings.instance)
         self._scheduler.stop_admitting().get()
         self._send_reports()
         self._slot_manager.release()
@@ -165,17 +165,17 @@
         self._server.stop()
         self._scheduler_ref.stop()
         self._config_keeper.stop()
-        _log.info("left", instance=self._settings.instance)
+        _log.info("stopped", instance=self._settings.instance)
 
-    # Links
+    # Link callbacks
 
-    def _on_open(self, session: Session) -> None:
+    def _on_link_open(self, session: Session) -> None:
         self._sessions[id(session)] = session
         _log.debug("link opened", peer=session.peer, role=session.role)
         if session.role == "entry":
             session.send(self._make_report())
 
-    def _on_close(self, session: Session) -> None:
+    def _on_link_close(self, session: Session) -> None:
         self._sessions.pop(id(session), None)
         _log.debug("link closed", peer=session.peer)
 
@@ -215,13 +215,13 @@
 
     # Configuration
 
-    def _on_config(self, config: FleetConfig) -> None:
+    def _on_config_change(self, config: FleetConfig) -> None:
         _log.info("configuration in force", generation=config.generation)
         self._scheduler.apply_config.defer(config)
-        self._join_group(config)
+        self._join_rank_group(config)
         self._load_changed.set()
 
-    def _join_group(self, config: FleetConfig) -> None:
+    def _join_rank_group(self, config: FleetConfig) -> None:
         engine = config.engines.get(self._settings.instance)
         port = self._backend.rank_port
         if self._rank_guard is not None or engine is None or not engine.model.group or port is None:
@@ -239,13 +239,13 @@
             self._clock,
             self._settings.instance,
             self._incarnation,
-            self._group,
+            self._find_group,
             links,
             self._rng,
         )
         self._map_owner.start()
 
-    def _group(self) -> Group | None:
+    def _find_group(self) -> Group | None:
         config = self._view.current
         engine = config.engines.get(self._settings.instance)
         return config.groups.get(engine.model.group) if engine else None
@@ -255,14 +255,14 @@
         service = self._view.current.services.get(self._settings.service)
         return service.model.key_slots if service and service.accepts_non_repeatable else 0
 
-    def _on_holding(self, holding: Holding) -> None:
+    def _on_holding_change(self, holding: Holding) -> None:
         self._holding = holding
         self._load_changed.set()
 
     # Reports
 
     def _probe_loop(self) -> None:
-        while not self._leaving.is_set():
+        while not self._stop_requested.is_set():
             health = self._backend.probe()
             self._failed_probes = 0 if health.ok else self._failed_probes + 1
             ok = self._failed_probes < _FAILED_PROBES_LIMIT
@@ -270,9 +270,9 @@
                 _log.warning("backend is up" if ok else "backend is down", detail=health.detail)
                 self._load_changed.set()
             self._health = Health(ok, health.detail)
-            self._leaving.wait(_PROBE_INTERVAL / SECOND)
+            self._stop_requested.wait(_PROBE_INTERVAL / SECOND)
 
-    def _on_load(self, load: SchedulerLoad) -> None:
+    def _on_load_change(self, load: SchedulerLoad) -> None:
         self._load = load
         self._load_changed.set()
 
@@ -300,7 +300,7 @@
             slots=engine.model.slots if engine else 0,
             duration=load.duration,
             generation=self._view.current.generation,
-            leaving=self._leaving.is_set(),
+            leaving=self._stop_requested.is_set(),
             healthy=self._health.ok,
             homes=[SlotClaim(index, holding.epoch) for index in held],
             group=engine.model.group if engine else "",
