--- a/src/canvasyoke/state/_settings.py
+++ b/src/canvasyoke/state/_settings.py
@@ -116,7 +116,7 @@
     instance: Annotated[Name, Meta(description="Name of the instance.")]
     domain: Annotated[
         str,
-        Meta(description="Failure domain of the instance; if empty, owners connect without relay."),
+        Meta(description="Failure domain of the instance; if empty, it links directly to owners."),
     ] = ""
     engine: Annotated[Address, Meta(description="Address of the local engine.")]
     peer: Annotated[
