--- a/src/canvasyoke/__init__.py
+++ b/src/canvasyoke/__init__.py
@@ -1,16 +1,16 @@
 """canvasyoke: a load balancer for expert-parallel model groups.
 
-The package is laid out in layers; a module imports only from its own layer or
-from one named before it:
+The package is organised in layers. A module imports only from its own layer or
+from a lower one. The main layers, lowest first:
 
 ``protocol``      messages between processes and the callers' HTTP conventions
-``transport``     links over pynng, the HTTP server and the HTTP client
-``state``         settings, configuration, the platform port, the audit trail
-``coordination``  decisions: routing, limits, retries, at most once, expert maps
-``backend``       adapters to engines and plain services
+``transport``     links over pynng, HTTP server and HTTP client
+``state``         settings, configuration, platform port, audit trail
+``coordination``  routing, limits, retries, at-most-once execution, expert maps
+``backend``       adapters for inference engines and plain services
 
-``entry`` and ``target`` assemble the layers into the two long-running roles and
-``cli`` holds the operators' commands.
+``entry``, ``target``, ``direct`` and ``experts`` combine the layers into long-running
+processes, and ``cli`` contains the commands that start and operate them.
 """
 
 from canvasyoke._clock import Clock, ManualClock, SystemClock
--- a/src/canvasyoke/__main__.py
+++ b/src/canvasyoke/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: ``python -m canvasyoke``."""
+"""Command-line entry point for ``python -m canvasyoke``."""
 
 import sys
 
--- a/src/canvasyoke/_actor.py
+++ b/src/canvasyoke/_actor.py
@@ -1,8 +1,8 @@
-"""The base of all actors: one that fails ends its process.
+"""Base class for actors whose failure must terminate the process.
 
-pykka stops an actor whose message raised and lets the rest of the process go on, which
-would leave a target that listens and never answers. Outcomes are values here, so an
-exception that reaches an actor's end is a broken invariant.
+By default, pykka stops only the actor that raised, which would leave a target that accepts
+requests but never answers them. Expected errors are returned as values, so an unhandled
+exception in an actor indicates a violated invariant.
 """
 
 from __future__ import annotations
@@ -15,7 +15,10 @@
 
 
 class CriticalActor(pykka.ThreadingActor):
-    """An actor without which its process is of no use."""
+    """Actor that reports unhandled exceptions to ``threading.excepthook``.
+
+    The long-running commands install a hook there that terminates the process.
+    """
 
     def on_failure(
         self,
@@ -23,6 +26,6 @@
         exception_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Hand the failure to the hook that all tasks' failures go to."""
+        """Pass the exception to ``threading.excepthook``, as for an uncaught one in a thread."""
         args: Any = (exception_type, exception_value, traceback, threading.current_thread())
         threading.excepthook(threading.ExceptHookArgs(args))
--- a/src/canvasyoke/_clock.py
+++ b/src/canvasyoke/_clock.py
@@ -1,8 +1,8 @@
-"""Time in milliseconds, behind one small type so that tests can set it.
+"""Clock abstraction in milliseconds, replaceable in tests.
 
-Two readings exist because they answer different questions. ``now`` never jumps
-and is for durations; ``wall`` agrees between machines within their clock error
-and is for times that travel: audit entries and time-bearing keys.
+``now`` is monotonic and used for durations. ``wall`` is comparable between machines,
+within their clock error, and used for timestamps that leave the process: audit entries
+and keys that contain a time.
 
 >>> clock = ManualClock(start=1_000)
 >>> clock.advance(250)
@@ -16,56 +16,56 @@
 from abc import ABC, abstractmethod
 from typing import Final
 
-#: Milliseconds in a second.
+#: One second in milliseconds.
 SECOND: Final = 1_000
-_NANOSECONDS: Final = 1_000_000
+_NS_PER_MS: Final = 1_000_000
 
 
 class Clock(ABC):
-    """A source of time; every decision takes one instead of asking the system."""
+    """Source of time, passed in rather than read from the system directly."""
 
     @abstractmethod
     def now(self) -> int:
-        """Return milliseconds since an arbitrary start; never goes back.
+        """Return monotonic milliseconds since an arbitrary start.
 
-        It counts time during which the machine was suspended, so that a lease
-        is seen to have lapsed after a pause.
+        Includes time during which the machine was suspended, so that leases
+        expire across a suspend.
         """
 
     @abstractmethod
     def wall(self) -> int:
-        """Return milliseconds since 1970-01-01 UTC; may jump."""
+        """Return milliseconds since the Unix epoch; not monotonic."""
 
 
 class SystemClock(Clock):
-    """The operating system's clocks."""
+    """Clock backed by the operating system."""
 
     def now(self) -> int:
         """Return ``CLOCK_BOOTTIME`` in milliseconds."""
-        return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NANOSECONDS
+        return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
     def wall(self) -> int:
         """Return ``CLOCK_REALTIME`` in milliseconds."""
-        return time.time_ns() // _NANOSECONDS
+        return time.time_ns() // _NS_PER_MS
 
 
 class ManualClock(Clock):
-    """A clock that moves only when a test or an experiment moves it."""
+    """Clock that only advances on request, for tests and experiments."""
 
     def __init__(self, start: int = 0, wall_offset: int = 0) -> None:
         self._now = start
         self._wall_offset = wall_offset
 
     def now(self) -> int:
-        """Return the time set so far."""
+        """Return the current manual time."""
         return self._now
 
     def wall(self) -> int:
-        """Return the time set so far plus the wall offset."""
+        """Return the current manual time plus the wall offset."""
         return self._now + self._wall_offset
 
     def advance(self, duration: int) -> None:
-        """Move the clock forward by ``duration`` milliseconds."""
+        """Advance the clock by ``duration`` milliseconds."""
         if duration < 0:
-            raise ValueError(f"a clock moves forward only, not by {duration} ms")
+            raise ValueError(f"cannot advance the clock by a negative duration: {duration} ms")
         self._now += duration
--- a/src/canvasyoke/_version.py
+++ b/src/canvasyoke/_version.py
@@ -1,7 +1,7 @@
-"""The version of the program and of the protocol between its processes."""
+"""Program version and version of the protocol between processes."""
 
-#: Version of the program, as ``canvasyoke version`` prints it.
+#: Program version, printed by ``canvasyoke version``.
 VERSION = "0.1.0"
 
-#: Version of the messages between processes; a handshake with another is refused.
+#: Version of the inter-process protocol; handshakes with a different version are rejected.
 PROTOCOL_VERSION = 1
--- a/src/canvasyoke/tests/test_actor.py
+++ b/src/canvasyoke/tests/test_actor.py
@@ -5,30 +5,30 @@
 from canvasyoke._actor import CriticalActor
 
 
-class Fragile(CriticalActor):
-    def work(self, value: int) -> int:
+class DividingActor(CriticalActor):
+    def divide(self, value: int) -> int:
         return 10 // value
 
 
-def test_failure_of_an_actor_reaches_the_hook(monkeypatch: pytest.MonkeyPatch) -> None:
-    failed: list[type[BaseException]] = []
-    seen = threading.Event()
+def test_unhandled_exception_calls_excepthook(monkeypatch: pytest.MonkeyPatch) -> None:
+    exception_types: list[type[BaseException]] = []
+    hook_called = threading.Event()
 
     def hook(args: threading.ExceptHookArgs) -> None:
-        failed.append(args.exc_type)
-        seen.set()
+        exception_types.append(args.exc_type)
+        hook_called.set()
 
     monkeypatch.setattr(threading, "excepthook", hook)
-    actor = Fragile.start().proxy()
-    assert actor.work(5).get() == 2
-    actor.work.defer(0)
-    assert seen.wait(5)
-    assert failed == [ZeroDivisionError]
+    actor = DividingActor.start().proxy()
+    assert actor.divide(5).get() == 2
+    actor.divide.defer(0)
+    assert hook_called.wait(5)
+    assert exception_types == [ZeroDivisionError]
 
 
-def test_failure_that_somebody_waits_for_is_theirs() -> None:
-    actor = Fragile.start()
+def test_exception_of_awaited_call_is_raised_in_caller() -> None:
+    actor = DividingActor.start()
     with pytest.raises(ZeroDivisionError):
-        actor.proxy().work(0).get()
+        actor.proxy().divide(0).get()
     assert actor.is_alive()
     actor.stop()
--- a/src/canvasyoke/tests/test_layers.py
+++ b/src/canvasyoke/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""A package imports only from its own layer or an earlier one."""
+"""Checks that packages import only from their own layer or a lower one."""
 
 import ast
 from pathlib import Path
@@ -6,7 +6,7 @@
 import pytest
 
 PACKAGE = Path(__file__).resolve().parents[1]
-#: Packages from the lowest layer up.
+#: Packages, lowest layer first.
 LAYERS = (
     "protocol",
     "transport",
@@ -22,8 +22,9 @@
     "platform",
     "cli",
 )
-#: Roles that do not know each other, and adapters that know only the ports they fill.
-APART = {
+#: Lower-layer packages that a package must not import: independent roles, and
+#: anything that platform adapters do not need to implement their ports.
+FORBIDDEN_IMPORTS = {
     "target": {"entry"},
     "direct": {"entry", "target"},
     "experts": {"entry", "target", "direct"},
@@ -34,8 +35,8 @@
 )
 
 
-def imported(path: Path) -> set[str]:
-    """Return the packages of canvasyoke that a module imports."""
+def imported_packages(path: Path) -> set[str]:
+    """Return the canvasyoke packages that a module imports."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -47,15 +48,15 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_imports_go_down(path: Path) -> None:
+def test_imports_only_lower_layers(path: Path) -> None:
     own = path.relative_to(PACKAGE).parts[0]
     allowed = set(LAYERS[: LAYERS.index(own) + 1])
-    allowed -= APART.get(own, set())
-    assert imported(path) <= allowed
+    allowed -= FORBIDDEN_IMPORTS.get(own, set())
+    assert imported_packages(path) <= allowed
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_every_module_says_its_job(path: Path) -> None:
+def test_module_has_docstring(path: Path) -> None:
     doc = ast.get_docstring(ast.parse(path.read_text()))
     assert doc
     assert len(doc.splitlines()[0]) > 15
