--- a/src/canvasyoke/direct/_forwarder.py
+++ b/src/canvasyoke/direct/_forwarder.py
@@ -67,7 +67,7 @@
         budget: FleetRetryBudget,
         crash_detector: CrashDetector,
         quarantine: Quarantine,
-        words: NoticeHandler,
+        notice_handler: NoticeHandler,
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -76,7 +76,7 @@
         self._budget = budget
         self._crash_detector = crash_detector
         self._quarantine = quarantine
-        self._words = words
+        self._notice_handler = notice_handler
         self._clock = clock
         self._refusals = RefusalPolicy(roster, clock, rng)
         self._retries = RetryPolicy(roster, budget, clock)
@@ -108,7 +108,7 @@
                 return
 
     def _is_quarantined(self, call: DirectCall) -> bool:
-        """Tell whether a request is quarantined.
+        """Return whether a request is quarantined.
 
         Checked before each attempt, since other entries may report it between two attempts. The
         fingerprint is computed only while any request is quarantined.
@@ -152,7 +152,7 @@
         if call.is_disconnected():
             call.slot.cancel()
         sent = self._port.send(endpoint, self._outbound(call), _CONNECT_TIMEOUT, call.slot)
-        self._words.handle(endpoint, sent.notice)
+        self._notice_handler.handle(endpoint, sent.notice)
         self._record_reachability(call, endpoint, sent)
         if isinstance(sent, NotRun) and not sent.was_received:
             self._roster.record_not_sent(endpoint.run)
@@ -285,7 +285,7 @@
 
 
 def _closed_by_entry(call: DirectCall) -> bool:
-    """Tell whether this entry closed the exchange, which is no evidence of a backend failure."""
+    """Return whether this entry closed the exchange, which is no evidence of a backend failure."""
     return call.is_moved or call.is_unresponsive or call.is_disconnected()
 
 
--- a/src/canvasyoke/direct/tests/test_quarantine_fleet.py
+++ b/src/canvasyoke/direct/tests/test_quarantine_fleet.py
@@ -15,9 +15,9 @@
 from canvasyoke.direct import _peers
 from canvasyoke.direct._crash_cases import MIN_ENDED_RUNS
 from canvasyoke.direct._quarantine import Quarantine
-from canvasyoke.direct.tests.fleet_model import SETTLE_TURNS, SimFleet, SimLinks
+from canvasyoke.direct.tests.fleet_model import SETTLE_STEPS, SimFleet, SimLinks
 
-DEADLY = "deadly"
+CRASHING = "deadly"
 
 
 @pytest.fixture(autouse=True)
@@ -28,7 +28,7 @@
 
 def connected_fleet(sizes: tuple[int, ...]) -> SimFleet:
     fleet = SimFleet(sizes)
-    fleet.pass_turns(SETTLE_TURNS)
+    fleet.run_steps(SETTLE_STEPS)
     while fleet.deliver_hop():
         pass
     fleet.delivered = 0
@@ -51,10 +51,10 @@
     fleet = connected_fleet(sizes)
     first = next(iter(fleet.entries.values()))
     for run in ("a", "b", "c"):
-        first.quarantine.record_end(DEADLY, run)
+        first.quarantine.record_end(CRASHING, run)
         fleet.clock.advance(200)
     hops = 0
-    while any(not e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values()):
+    while any(not e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values()):
         assert fleet.deliver_hop()
         hops += 1
     while fleet.deliver_hop():
@@ -66,31 +66,31 @@
 def test_partitioned_entries_merge_their_cases_when_reconnected() -> None:
     fleet = connected_fleet((3, 3, 3))
     fleet.partitioned = {"domain-0"}
-    fleet.pass_turns(2)
-    fleet.entries["front-0-0"].quarantine.record_end(DEADLY, "a")
-    fleet.entries["front-1-0"].quarantine.record_end(DEADLY, "b")
-    fleet.entries["front-2-0"].quarantine.record_end(DEADLY, "c")
-    fleet.pass_turns(SETTLE_TURNS)
-    assert not any(e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values())
+    fleet.run_steps(2)
+    fleet.entries["front-0-0"].quarantine.record_end(CRASHING, "a")
+    fleet.entries["front-1-0"].quarantine.record_end(CRASHING, "b")
+    fleet.entries["front-2-0"].quarantine.record_end(CRASHING, "c")
+    fleet.run_steps(SETTLE_STEPS)
+    assert not any(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
     fleet.partitioned = set()
-    fleet.pass_turns(SETTLE_TURNS)
-    assert all(e.quarantine.is_quarantined(DEADLY) for e in fleet.entries.values())
+    fleet.run_steps(SETTLE_STEPS)
+    assert all(e.quarantine.is_quarantined(CRASHING) for e in fleet.entries.values())
 
 
 def test_a_restarted_entry_receives_the_known_cases() -> None:
     fleet = connected_fleet((3, 3, 3))
     for run in ("a", "b", "c"):
-        fleet.entries["front-0-0"].quarantine.record_end(DEADLY, run)
+        fleet.entries["front-0-0"].quarantine.record_end(CRASHING, run)
         fleet.clock.advance(200)
     fleet.kill("front-1-0")
-    fleet.pass_turns(2)
+    fleet.run_steps(2)
     fleet.restart("front-1-0")
-    fleet.pass_turns(SETTLE_TURNS)
-    assert fleet.entries["front-1-0"].quarantine.is_quarantined(DEADLY)
+    fleet.run_steps(SETTLE_STEPS)
+    assert fleet.entries["front-1-0"].quarantine.is_quarantined(CRASHING)
 
 
 class QuarantineMachine(RuleBasedStateMachine):
-    """Applies ends, responses, releases, cuts and restarts in any order.
+    """Applies ends, responses, releases, partitions and restarts in any order.
 
     One request always ends its backend; the others are harmless but may be running on a backend
     that ends. All entries must converge, and a request answered after its last ended run must not
@@ -103,22 +103,22 @@
         self.fleet = connected_fleet((2, 2, 2))
         self.names = sorted(self.fleet.entries)
         self.runs = 0
-        #: Ended runs attributed to the deadly request by all entries together.
+        #: Ended runs attributed to the crashing request by all entries together.
         self.counted: set[str] = set()
         self.answered: set[str] = set()
 
     def quarantine(self, number: int) -> Quarantine:
         return self.fleet.entries[self.names[number]].quarantine
 
-    @rule(entry=st.integers(0, 5), beside=st.sampled_from(["", "s-1", "s-2"]))
-    def end(self, entry: int, beside: str) -> None:
+    @rule(entry=st.integers(0, 5), other_request=st.sampled_from(["", "s-1", "s-2"]))
+    def end(self, entry: int, other_request: str) -> None:
         self.runs += 1
         run = f"run-{self.runs}"
-        self.quarantine(entry).record_end(DEADLY, run)
+        self.quarantine(entry).record_end(CRASHING, run)
         self.counted.add(run)
-        if beside:
-            self.quarantine((entry + 1) % 6).record_end(beside, run)
-            self.answered.discard(beside)
+        if other_request:
+            self.quarantine((entry + 1) % 6).record_end(other_request, run)
+            self.answered.discard(other_request)
 
     @rule(entry=st.integers(0, 5), name=st.sampled_from(["s-1", "s-2"]))
     def answer(self, entry: int, name: str) -> None:
@@ -126,26 +126,26 @@
         self.answered.add(name)
 
     @rule(domain=st.sampled_from(["domain-0", "domain-1"]))
-    def cut(self, domain: str) -> None:
+    def partition(self, domain: str) -> None:
         self.fleet.partitioned = {domain}
-        self.fleet.pass_turns(1)
+        self.fleet.run_steps(1)
 
     @rule()
-    def pass_time(self) -> None:
-        self.fleet.pass_turns(2)
+    def advance_time(self) -> None:
+        self.fleet.run_steps(2)
 
     @rule(entry=st.integers(0, 5))
     def restart(self, entry: int) -> None:
         self.settle()
         self.fleet.kill(self.names[entry])
-        self.fleet.pass_turns(1)
+        self.fleet.run_steps(1)
         self.fleet.restart(self.names[entry])
 
     @rule(entry=st.integers(0, 5))
     def release(self, entry: int) -> None:
         self.settle()
         is_kept = len(self.counted) >= MIN_ENDED_RUNS
-        assert self.quarantine(entry).release(DEADLY) is is_kept
+        assert self.quarantine(entry).release(CRASHING) is is_kept
         if is_kept:
             self.counted.clear()
         self.settle()
@@ -153,11 +153,13 @@
     @rule()
     def settle(self) -> None:
         self.fleet.partitioned = set()
-        self.fleet.pass_turns(SETTLE_TURNS)
+        self.fleet.run_steps(SETTLE_STEPS)
         known = [e.quarantine.cases() for e in self.fleet.entries.values()]
         assert all(cases == known[0] for cases in known)
         for entry in self.fleet.entries.values():
-            assert entry.quarantine.is_quarantined(DEADLY) is (len(self.counted) >= MIN_ENDED_RUNS)
+            assert entry.quarantine.is_quarantined(CRASHING) is (
+                len(self.counted) >= MIN_ENDED_RUNS
+            )
             assert not self.answered & entry.quarantine.quarantined
 
     @invariant()
@@ -182,9 +184,9 @@
     seed: int
     backends: int = 40
     #: Fraction of requests that are identical.
-    hot: float = 0.0
+    hot_fraction: float = 0.0
     #: Number of immediate retries by a caller.
-    repeats: int = 1
+    caller_retries: int = 1
     clock: ManualClock = field(default_factory=lambda: ManualClock(start=100_000))
 
     def __post_init__(self) -> None:
@@ -195,25 +197,25 @@
         self.ends = 0
         self.sent = 0
         #: Requests in progress: name, backend, completion time, attempts left.
-        self.under_way: list[tuple[str, int, int, int]] = []
+        self.in_flight: list[tuple[str, int, int, int]] = []
         self.starts = [0] * self.backends
-        self.back_at = [0] * self.backends
+        self.restart_at = [0] * self.backends
 
     def send(self, name: str, attempts: int) -> None:
         if self.quarantine.is_quarantined(name):
             self.refused += 1
             return
-        up = [b for b in range(self.backends) if self.back_at[b] <= self.clock.now()]
+        up = [b for b in range(self.backends) if self.restart_at[b] <= self.clock.now()]
         if up:
             done = self.clock.now() + self.rng.randint(1_000, 2_000)
-            self.under_way.append((name, self.rng.choice(up), done, attempts))
+            self.in_flight.append((name, self.rng.choice(up), done, attempts))
 
     def end(self, ending: list[int]) -> None:
         """End backends at once; each restarts after three seconds."""
-        broken = [each for each in self.under_way if each[1] in ending]
-        self.under_way = [each for each in self.under_way if each[1] not in ending]
+        broken = [each for each in self.in_flight if each[1] in ending]
+        self.in_flight = [each for each in self.in_flight if each[1] not in ending]
         for backend in ending:
-            self.back_at[backend] = self.clock.now() + 3 * SECOND
+            self.restart_at[backend] = self.clock.now() + 3 * SECOND
             self.starts[backend] += 1
             self.ends += 1
         for name, backend, _, _ in broken:
@@ -223,15 +225,15 @@
             if attempts:
                 self.send(name, attempts - 1)
 
-    def play(self, seconds: int, every: int, ending: list[list[int]]) -> None:
+    def simulate(self, seconds: int, every: int, ending: list[list[int]]) -> None:
         """Send 40 requests a second, and apply the next entry of ``ending`` every ``every`` ms."""
         for turn in range(seconds * 40):
             self.clock.advance(25)
             self.sent += 1
-            is_hot = self.rng.random() < self.hot
-            self.send("hot" if is_hot else f"r-{turn}", 1 + 2 * self.repeats)
-            done = [each for each in self.under_way if each[2] <= self.clock.now()]
-            self.under_way = [each for each in self.under_way if each[2] > self.clock.now()]
+            is_hot = self.rng.random() < self.hot_fraction
+            self.send("hot" if is_hot else f"r-{turn}", 1 + 2 * self.caller_retries)
+            done = [each for each in self.in_flight if each[2] <= self.clock.now()]
+            self.in_flight = [each for each in self.in_flight if each[2] > self.clock.now()]
             for name, _, _, _ in done:
                 self.quarantine.record_answer(name)
             self.quarantine.refresh()
@@ -272,10 +274,10 @@
 @pytest.mark.parametrize("cause", EXTERNAL_CAUSES, ids=[c[0] for c in EXTERNAL_CAUSES])
 def test_ends_with_external_causes_quarantine_no_request(cause: tuple) -> None:  # type: ignore[type-arg]
     """Ends with an external cause must not lead to a quarantine."""
-    _, plan, every, hot, repeats = cause
+    _, plan, every, hot_fraction, caller_retries = cause
     for seed in range(20):
-        fleet = CrashingFleet(seed, hot=hot, repeats=repeats)
-        fleet.play(20, every, plan(random.Random(seed)))
+        fleet = CrashingFleet(seed, hot_fraction=hot_fraction, caller_retries=caller_retries)
+        fleet.simulate(20, every, plan(random.Random(seed)))
         assert fleet.ends
         assert not fleet.blamed, (seed, fleet.blamed)
         assert not fleet.refused
